--- a/tests/following/test_changes.py
+++ b/tests/following/test_changes.py
@@ -262,6 +262,7 @@
             longer = asyncio.create_task(ask(app.port, 1))
             await until(lambda: sum(node.taken for node in nodes) == 1, "it is out")
             await granted(app, ctl, of(nodes, **once, **{path: "300000"}))
+            await until(lambda: app.settings.classes[0].deadline_us == 300_000, "the settings applied")
             assert app.lifecycle.longest_us == 3_000_000, "the open one may still need its time"
             assert await ask(app.port, 2) in ("502", "504") and not longer.done()
             Silent.said.set()
