--- a/tests/engine/test_own_load.py
+++ b/tests/engine/test_own_load.py
@@ -20,10 +20,10 @@
 from roadlb.policy.logic import Balancer
 from roadlb.wheel import Wheel
 
-NODE = b"s1"
+SERVER_ID = b"s1"
 
 
-class Heard:
+class RecordingPolicy:
     """Stands in for the module, and keeps what it is told."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         return []
 
 
-class Executor:
+class RecordingExecutor:
     """Answers each attempt after `takes_us` of a clock that the test moves."""
 
     def __init__(self) -> None:
@@ -50,25 +50,25 @@
         raise AssertionError("nothing is probed here")
 
 
-class Transport:
+class FakeTransport:
     """Its last bytes came so many milliseconds ago, by the kernel's word."""
 
-    def __init__(self, ago_ms: int | None) -> None:
-        self.ago_ms = ago_ms
+    def __init__(self, received_ms_ago: int | None) -> None:
+        self.received_ms_ago = received_ms_ago
 
-    def get_extra_info(self, name: str) -> Transport:
+    def get_extra_info(self, name: str) -> FakeTransport:
         assert name == "socket"
         return self
 
     def getsockopt(self, level: int, option: int, length: int) -> bytes:
-        if self.ago_ms is None:
+        if self.received_ms_ago is None:
             raise OSError("not told")
         assert level == socket.IPPROTO_TCP
-        return bytes(length - 4) + struct.pack("=I", self.ago_ms)
+        return bytes(length - 4) + struct.pack("=I", self.received_ms_ago)
 
 
 @pytest.mark.parametrize(
-    ("late_us", "ago_ms", "came_before_us"),
+    ("late_us", "received_ms_ago", "age_us"),
     [
         (LATE_ENOUGH_US // 4, 300, 0),  # so little is not worth asking
         (300_000, 120, 121_000),  # the kernel tells when they came
@@ -77,16 +77,16 @@
     ],
 )
 def test_what_is_read_after_a_pause_has_used_up_its_time(
-    late_us: int, ago_ms: int | None, came_before_us: int
+    late_us: int, received_ms_ago: int | None, age_us: int
 ) -> None:
     async def main() -> None:
         now = 1_000_000_000
-        heard = Heard()
-        engine = Engine(heard, Counters(), lambda: now, Wheel(lambda: now))
-        load = OwnLoad(lambda: now, engine, Limits(1.0), 500_000, lambda: 1, lambda on: None, lambda: 0)
+        policy = RecordingPolicy()
+        engine = Engine(policy, Counters(), lambda: now, Wheel(lambda: now))
+        own_load = OwnLoad(lambda: now, engine, Limits(1.0), 500_000, lambda: 1, lambda on: None, lambda: 0)
         now += 10_000 + late_us  # the beat is due after 10 ms
-        assert now - load.came_us(Transport(ago_ms)) == came_before_us  # type: ignore[arg-type]
-        load.stop()
+        assert now - own_load.came_us(FakeTransport(received_ms_ago)) == age_us  # type: ignore[arg-type]
+        own_load.stop()
 
     asyncio.run(main())
 
@@ -94,19 +94,25 @@
 def test_the_module_is_told_of_a_shortage_and_of_its_end() -> None:
     async def main() -> None:
         now, cpu = 1_000_000_000, 0
-        heard, tight = Heard(), list[bool]()
-        engine = Engine(heard, Counters(), lambda: now, Wheel(lambda: now))
-        load = OwnLoad(
-            lambda: now, engine, Limits(0.5, sockets=100), 80_000, lambda: 90, tight.append, lambda: cpu
+        policy, tighten_calls = RecordingPolicy(), list[bool]()
+        engine = Engine(policy, Counters(), lambda: now, Wheel(lambda: now))
+        own_load = OwnLoad(
+            lambda: now,
+            engine,
+            Limits(0.5, sockets=100),
+            80_000,
+            lambda: 90,
+            tighten_calls.append,
+            lambda: cpu,
         )
-        for late in (0, 0, *[60_000] * 30, *[0] * 300):  # a beat every 10 ms, thirty of them late
-            now += BEAT_US + late
+        for delay_us in (0, 0, *[60_000] * 30, *[0] * 300):  # a beat every 10 ms, thirty of them late
+            now += BEAT_US + delay_us
             cpu += 1_000
-            load._beat()
-        shares = [e.share for e in heard.events if isinstance(e, Shortage)]
+            own_load._beat()
+        shares = [e.share for e in policy.events if isinstance(e, Shortage)]
         assert shares[0] == 0.0 and max(shares) > 0.2 and shares[-1] == 0.0
-        assert tight == [True] and load.figures()["overload.descriptor_share"] == 0.9
-        load.stop()
+        assert tighten_calls == [True] and own_load.figures()["overload.descriptor_share"] == 0.9
+        own_load.stop()
 
     asyncio.run(main())
 
@@ -117,12 +123,12 @@
         now = monotonic_us()
         settings = Settings(classes=[RequestClass("grid-read", 500_000, 2_500_000)])
         engine = Engine(Balancer(settings, 1), Counters(), lambda: now, Wheel(lambda: now))
-        engine.executor = executor = Executor()
+        engine.executor = executor = RecordingExecutor()
         engine.shortage(0.0)  # the first reading is always told
-        engine.list_update(ListKind.FULL, [Member(NODE)])
+        engine.list_update(ListKind.FULL, [Member(SERVER_ID)])
         answers: list[Answer] = []
 
-        def ask(came_us: int) -> None:
+        def open_request(received_us: int) -> None:
             engine.open(
                 Exchange(
                     Message(b"GET", b"/grid-read/k"),
@@ -133,17 +139,17 @@
                     0,
                     False,
                     lambda x, answer: answers.append(answer),
-                    came_us,
+                    received_us,
                 )
             )
 
         for _ in range(3):
-            ask(now)
+            open_request(now)
             now += 50_000
             engine.attempt_ended(executor.started[-1], Result(AttemptOutcome.SERVED, (), Served(b"")))
-        ask(now - 390_000)
+        open_request(now - 390_000)
         assert isinstance(answers[-1], Refusal) and len(executor.started) == 3
-        ask(now - 200_000)
+        open_request(now - 200_000)
         assert len(executor.started) == 4
 
     asyncio.run(main())
--- a/tests/sites/conftest.py
+++ b/tests/sites/conftest.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterator
 
 import pytest
-from six import Six
+from shared_deployment import SharedDeployment
 
 
 @pytest.fixture(scope="session")
-def six() -> Iterator[Six]:
-    all_of_them = Six()
-    yield all_of_them
-    all_of_them.end()
+def deployment() -> Iterator[SharedDeployment]:
+    shared = SharedDeployment()
+    yield shared
+    shared.stop()
--- a/tests/sites/six.py
+++ b/tests/sites/shared_deployment.py
@@ -11,7 +11,7 @@
 from roadlb.lab.incident import read
 from roadlb.lab.run.rig import Rig, SiteChange
 
-HALLS = "hall-a", "hall-b", "hall-c"
+ZONES = "hall-a", "hall-b", "hall-c"
 DEPLOYMENT = """
 title = "three halls"
 [fleet]
@@ -39,46 +39,46 @@
 over_s = 5
 drain_s = 1
 """
-UNEVEN = DEPLOYMENT.replace(
+UNEVEN_DEPLOYMENT = DEPLOYMENT.replace(
     "nodes = 12",
     "".join(
         f"""
 [[fleet.group]]
-hall = "{hall}"
+hall = "{zone}"
 machine = "new-2c"
 count = {count}
 """
-        for hall, count in zip(HALLS, (6, 3, 1), strict=True)
+        for zone, count in zip(ZONES, (6, 3, 1), strict=True)
     ),
 )
-UNEVEN += """
+UNEVEN_DEPLOYMENT += """
 [[refusal]]
 class = "grid-read"
 """
-TOLD_US = 1_000_000  # nothing new is sent later than this after a word is answered
+COMMAND_EFFECT_US = 1_000_000  # nothing new is sent later than this after a word is answered
 Scenario = Callable[[Rig], Coroutine[Any, Any, None]]
 
 
-def without_steps(changes: Sequence[SiteChange]) -> list[SiteChange]:
+def returns_without_steps(changes: Sequence[SiteChange]) -> list[SiteChange]:
     """A site that was lost for over a second, and is whole with the next word on it.
 
     Half a second more is for what a busy machine puts between a decision and its line in the log."""
     since: dict[tuple[str, str], int] = {}
-    found = []
+    skipped = []
     for change in changes:
-        gone_us = change.at - since.get((change.balancer, change.site), change.at)
-        if change.before == "lost" and change.after == "whole" and gone_us > 1_500_000:
-            found.append(change)
+        outage_us = change.at - since.get((change.balancer, change.site), change.at)
+        if change.before == "lost" and change.after == "whole" and outage_us > 1_500_000:
+            skipped.append(change)
         since[change.balancer, change.site] = change.at
-    return found
+    return skipped
 
 
-def foreign(rig: Rig, hall: str) -> list[str]:
+def balancers_outside(rig: Rig, zone: str) -> list[str]:
     """The names of balancers of other halls."""
-    return [one.name for one in rig.stage.balancers.all if one.hall != hall]
+    return [balancer.name for balancer in rig.stage.balancers.all if balancer.hall != zone]
 
 
-def lost(rig: Rig, since: int, *sites: str) -> list[SiteChange]:
+def loss_reports(rig: Rig, since: int, *sites: str) -> list[SiteChange]:
     """Each time that a balancer has said since then that one of these sites is lost.
 
     Not counted where the rig itself, with all nodes, stood still for a tenth of the 2 s before: sites that
@@ -92,7 +92,7 @@
     ]
 
 
-class Six:
+class SharedDeployment:
     """The next scenario finds all whole again, or, where one has failed, a deployment of its own.
 
     A site that is lost within 10 s of its return has relapsed, and is asked only after 2 s, then 4, then 8:
@@ -105,32 +105,32 @@
         self._runner: asyncio.Runner | None = None
         self._rig: Rig
 
-    def play(self, scenario: Scenario) -> None:
+    def run_scenario(self, scenario: Scenario) -> None:
         try:
             if self._runner is None:
                 self._runner = asyncio.Runner(loop_factory=uvloop.new_event_loop)
                 self._rig = Rig(self._incident, self._seed, variables=self._variables)
                 self._runner.run(self._rig.__aenter__())
-            self._runner.run(self._play(scenario))
+            self._runner.run(self._run_scenario(scenario))
         except BaseException:
-            self.end()
+            self.stop()
             raise
 
-    async def _play(self, scenario: Scenario) -> None:
+    async def _run_scenario(self, scenario: Scenario) -> None:
         rig, since = self._rig, self._rig.now
         await rig.dealt()
         await rig.until(
             "all whole, with load",
             lambda: (
                 len(rig.sites) == len(rig.stage.balancers.all)
-                and all(rig.all_say(hall, "whole") and len(rig.got(since, hall)) > 5 for hall in HALLS)
+                and all(rig.all_say(zone, "whole") and len(rig.got(since, zone)) > 5 for zone in ZONES)
             ),
         )
         await scenario(rig)
         assert not rig.repeated_orders(since)
         assert not rig.world.faults
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Nobody is left behind."""
         runner, self._runner = self._runner, None
         if runner is None:
--- a/tests/sites/test_lost_site.py
+++ b/tests/sites/test_lost_site.py
@@ -28,22 +28,22 @@
 from roadlb.sites.life import LOSS
 
 SECOND = 1_000_000
-EACH = 40  # servers in each of three halls
+SERVERS_PER_ZONE = 40  # servers in each of three halls
 READ, ORDER = 0, 1
 
 
-class World:
+class BalancerSimulation:
     """One balancer of hall 0 at ten requests a second, a quarter of them orders; some halls never answer."""
 
     def __init__(
         self,
         status: Status = Status.CONNECT_FAILED,
-        took: int = 250_000,
-        copies: bool = False,
-        servers: Sequence[int] = (EACH, EACH, EACH),
-        cold: bool = False,
+        duration_us: int = 250_000,
+        hedges: bool = False,
+        servers: Sequence[int] = (SERVERS_PER_ZONE, SERVERS_PER_ZONE, SERVERS_PER_ZONE),
+        slow_start: bool = False,
     ) -> None:
-        self.how = status, took  # an attempt at a dark hall ends
+        self.failure = status, duration_us  # an attempt at a dark hall ends
         classes = [
             RequestClass("read", 500_000, 2_500_000, 2.0, 0.5),
             RequestClass("order", 500_000, 2_500_000, 10.0, 0.5, effect=Effect.UNSAFE),
@@ -53,207 +53,226 @@
                 classes=classes,
                 instances=200,
                 cross_zone_cost=0.02,
-                second_copies=copies,
-                cold_from=0.1 if cold else 1.0,
-                cold_us=30 * SECOND if cold else 0,
+                second_copies=hedges,
+                cold_from=0.1 if slow_start else 1.0,
+                cold_us=30 * SECOND if slow_start else 0,
             ),
             3,
         )
-        self.halls = {bytes([65 + hall, n]): hall for hall in range(3) for n in range(servers[hall])}
-        self.now, self.number, self.dark = SECOND, 0, set[int]()
-        self.hang = set[int]()  # halls where orders alone are never answered
-        self.due: list[tuple[int, int, object]] = []
+        self.zone_of = {bytes([65 + zone, n]): zone for zone in range(3) for n in range(servers[zone])}
+        self.now, self.event_count, self.unreachable_zones = SECOND, 0, set[int]()
+        self.zones_hanging_orders = set[int]()  # halls where orders alone are never answered
+        self.pending: list[tuple[int, int, object]] = []
         self.attempts: dict[int, int] = {}
         self.sends: list[tuple[int, int, int]] = []  # when, which class, to which hall
-        self.refused, self.held_back = 0, 0
-        self.do(ListUpdate(ListKind.CACHED, [Member(s, zone=hall) for s, hall in self.halls.items()]))
+        self.refused, self.waiting = 0, 0
+        self.handle(ListUpdate(ListKind.CACHED, [Member(s, zone=zone) for s, zone in self.zone_of.items()]))
 
-    def do(self, event: object) -> None:
+    def handle(self, event: object) -> None:
         actions = self.balancer.handle(self.now, event)  # type: ignore[arg-type]
-        self.held_back += isinstance(event, Arrival) and not any(
-            isinstance(a, Send | Refuse) for a in actions
-        )
-        for a in actions:
-            if isinstance(a, SetTimer):
-                self.put(a.at_us, TimerFired(a.token))
-            elif isinstance(a, Refuse):
+        self.waiting += isinstance(event, Arrival) and not any(isinstance(a, Send | Refuse) for a in actions)
+        for action in actions:
+            if isinstance(action, SetTimer):
+                self.schedule(action.at_us, TimerFired(action.token))
+            elif isinstance(action, Refuse):
                 self.refused += 1
-            elif isinstance(a, Send):
-                hall, attempt = self.halls[a.server], self.attempts.get(a.request, 0)
-                self.attempts[a.request] = attempt + 1
-                self.sends.append((self.now, a.request % 4 == 0, hall))
-                dark = hall in self.dark or hall in self.hang and a.request % 4 == 0
-                status, took = self.how if dark else (Status.OK, 50_000)
-                self.put(self.now + took, Outcome(a.request, attempt, a.server, status, took, not dark))
-            elif isinstance(a, Cancel) and not a.unsent:  # here an attempt begins at once
-                pending = next(
-                    d
-                    for d in self.due
-                    if isinstance(d[2], Outcome) and (d[2].request, d[2].attempt) == (a.request, a.attempt)
+            elif isinstance(action, Send):
+                zone, attempt = self.zone_of[action.server], self.attempts.get(action.request, 0)
+                self.attempts[action.request] = attempt + 1
+                self.sends.append((self.now, action.request % 4 == 0, zone))
+                fails = (
+                    zone in self.unreachable_zones
+                    or zone in self.zones_hanging_orders
+                    and action.request % 4 == 0
+                )
+                status, duration_us = self.failure if fails else (Status.OK, 50_000)
+                self.schedule(
+                    self.now + duration_us,
+                    Outcome(action.request, attempt, action.server, status, duration_us, not fails),
                 )
-                self.due.remove(pending)
-                outcome = pending[2]
+            elif isinstance(action, Cancel) and not action.unsent:  # here an attempt begins at once
+                cancelled = next(
+                    entry
+                    for entry in self.pending
+                    if isinstance(entry[2], Outcome)
+                    and (entry[2].request, entry[2].attempt) == (action.request, action.attempt)
+                )
+                self.pending.remove(cancelled)
+                outcome = cancelled[2]
                 assert isinstance(outcome, Outcome)
-                sent = pending[0] - outcome.latency_us
-                self.put(
+                sent = cancelled[0] - outcome.latency_us
+                self.schedule(
                     self.now,
-                    Outcome(a.request, a.attempt, outcome.server, Status.CANCELLED, self.now - sent, True),
+                    Outcome(
+                        action.request,
+                        action.attempt,
+                        outcome.server,
+                        Status.CANCELLED,
+                        self.now - sent,
+                        True,
+                    ),
                 )
 
-    def put(self, at: int, event: object) -> None:
-        self.number += 1
-        self.due.append((at, self.number, event))
+    def schedule(self, at: int, event: object) -> None:
+        self.event_count += 1
+        self.pending.append((at, self.event_count, event))
 
-    def play(self, seconds: int, orders_only: bool = False, reads_only: bool = False) -> None:
+    def run(self, seconds: int, orders_only: bool = False, reads_only: bool = False) -> None:
         end = self.now + seconds * SECOND
         first = len(self.attempts) + self.refused + 1
         for n in range(10 * seconds):
             request = 1000 * (self.now // SECOND) + first + n
             request = 4 * request + reads_only if orders_only or reads_only else request
-            self.put(
+            self.schedule(
                 self.now + n * SECOND // 10,
                 Arrival(request, ORDER if request % 4 == 0 else READ, 0, request * 7919, 2_500_000, 0),
             )
-        while self.due and min(self.due)[0] < end:
-            self.due.sort()
-            at, _, event = self.due.pop(0)
+        while self.pending and min(self.pending)[0] < end:
+            self.pending.sort()
+            at, _, event = self.pending.pop(0)
             self.now = max(self.now, at)
-            self.do(event)
+            self.handle(event)
         self.now = end
 
-    def sent_since(self, at: int, dark: bool = True) -> list[tuple[int, int, int]]:
-        return [s for s in self.sends if s[0] >= at and (s[2] in self.dark) is dark]
+    def sent_since(self, at: int, unreachable: bool = True) -> list[tuple[int, int, int]]:
+        return [s for s in self.sends if s[0] >= at and (s[2] in self.unreachable_zones) is unreachable]
 
 
 @pytest.mark.parametrize(
-    ("status", "took", "more"), [(Status.CONNECT_FAILED, 250_000, 12), (Status.TIMEOUT, 1_000_000, 24)]
+    ("status", "duration_us", "allowed_more"),
+    [(Status.CONNECT_FAILED, 250_000, 12), (Status.TIMEOUT, 1_000_000, 24)],
 )
 def test_two_halls_out_of_reach_cost_a_few_requests_and_no_shedding(
-    status: Status, took: int, more: int
+    status: Status, duration_us: int, allowed_more: int
 ) -> None:
     # Cut off, a balancer took the lateness of what it sent to the other halls for too much work: it shed up
     # to 0.95 of what its own hall had room for, and heard nothing more that would have told it better.
-    world = World(status, took)
-    world.play(10)
-    assert len(world.sent_since(0, dark=False)) == 100 and not world.refused
-    world.dark = {1, 2}
-    began = world.now
-    world.play(4)
-    so_far = world.refused  # what waited there too long
-    world.play(6)
-    assert 2 * LOSS <= len(world.sent_since(began)) <= 2 * (LOSS + more)
-    assert world.refused - so_far <= 3
-    assert world.balancer.pressure < 0.3
+    simulation = BalancerSimulation(status, duration_us)
+    simulation.run(10)
+    assert len(simulation.sent_since(0, unreachable=False)) == 100 and not simulation.refused
+    simulation.unreachable_zones = {1, 2}
+    since = simulation.now
+    simulation.run(4)
+    refused_before = simulation.refused  # what waited there too long
+    simulation.run(6)
+    assert 2 * LOSS <= len(simulation.sent_since(since)) <= 2 * (LOSS + allowed_more)
+    assert simulation.refused - refused_before <= 3
+    assert simulation.balancer.pressure < 0.3
 
 
 def test_a_shut_hall_is_tried_once_a_second_with_what_may_run_twice_and_taken_back_when_it_answers() -> None:
-    world = World()
-    world.play(5)
-    world.dark = {1, 2}
-    world.play(5)
-    began = world.now
-    world.play(20)
-    tried = world.sent_since(began)
-    assert 10 <= len(tried) <= 2 * 20 + 2
-    assert not any(order for _, order, _ in tried)
-    world.dark = set()
-    world.play(5)
-    began = world.now
-    world.play(10)
-    assert sum(hall != 0 for at, _, hall in world.sends if at >= began) > 20  # a third to a half again
+    simulation = BalancerSimulation()
+    simulation.run(5)
+    simulation.unreachable_zones = {1, 2}
+    simulation.run(5)
+    since = simulation.now
+    simulation.run(20)
+    trials = simulation.sent_since(since)
+    assert 10 <= len(trials) <= 2 * 20 + 2
+    assert not any(is_order for _, is_order, _ in trials)
+    simulation.unreachable_zones = set()
+    simulation.run(5)
+    since = simulation.now
+    simulation.run(10)
+    assert sum(zone != 0 for at, _, zone in simulation.sends if at >= since) > 20  # a third to a half again
 
 
 def test_where_all_halls_are_shut_orders_alone_find_them_again() -> None:
-    world = World()
-    world.dark = {0, 1, 2}
-    world.play(6)
-    began, world.dark = world.now, set()
-    world.play(3, orders_only=True)
-    assert len(world.sent_since(began, dark=False)) > 15
+    simulation = BalancerSimulation()
+    simulation.unreachable_zones = {0, 1, 2}
+    simulation.run(6)
+    since, simulation.unreachable_zones = simulation.now, set()
+    simulation.run(3, orders_only=True)
+    assert len(simulation.sent_since(since, unreachable=False)) > 15
 
 
 def test_a_balancer_that_sheds_all_its_reads_still_asks_whether_a_lost_hall_is_back() -> None:
     # Only what may run twice is a trial, and that goes first under pressure: three of four balancers sent a
     # hall that was back nothing for 8 s, and refused 95% of what it had room for (seed 8 of the lost hall).
-    world = World()
-    world.play(5)
-    world.dark = {1, 2}
-    world.play(5)
-    world.do(Heard(pressure=0.95))
-    began = world.now
-    world.play(10)
-    tried = world.sent_since(began)
-    assert 4 <= len(tried) <= 2 * 10 + 2 and not any(order for _, order, _ in tried)
-    began, world.dark = world.now, set()
-    world.play(12)
-    back = [s for s in world.sends if s[0] >= began and s[2] != 0]
+    simulation = BalancerSimulation()
+    simulation.run(5)
+    simulation.unreachable_zones = {1, 2}
+    simulation.run(5)
+    simulation.handle(Heard(pressure=0.95))
+    since = simulation.now
+    simulation.run(10)
+    trials = simulation.sent_since(since)
+    assert 4 <= len(trials) <= 2 * 10 + 2 and not any(is_order for _, is_order, _ in trials)
+    since, simulation.unreachable_zones = simulation.now, set()
+    simulation.run(12)
+    sent_back = [s for s in simulation.sends if s[0] >= since and s[2] != 0]
     # What they have room for on their return is not refused for want of room elsewhere.
-    assert {s[2] for s in back} == {1, 2} and sum(not order for _, order, _ in back) >= 8
+    assert {s[2] for s in sent_back} == {1, 2} and sum(not is_order for _, is_order, _ in sent_back) >= 8
 
 
 @pytest.mark.parametrize(
-    ("status", "took", "stands"),
+    ("status", "duration_us", "expected_states"),
     [
         (Status.TIMEOUT, 2_500_000, {State.WHOLE, State.DOUBTFUL, State.LOST}),
         (Status.OK, 2_000_000, {State.WHOLE}),
     ],
 )
 def test_a_hall_whose_reads_are_all_rescued_by_copies_is_found_lost_and_a_slow_one_is_not(
-    status: Status, took: int, stands: set[State]
+    status: Status, duration_us: int, expected_states: set[State]
 ) -> None:
     # Called off as soon as its copy is answered, no attempt there ever failed; and where that alone counted
     # as a failure, a slow hall would be shut.
-    world = World(status, took, copies=True, servers=(EACH, 12, EACH))
-    world.play(20, reads_only=True)
-    world.dark = {1}
+    simulation = BalancerSimulation(
+        status, duration_us, hedges=True, servers=(SERVERS_PER_ZONE, 12, SERVERS_PER_ZONE)
+    )
+    simulation.run(20, reads_only=True)
+    simulation.unreachable_zones = {1}
     states = set()
     for _ in range(60):
-        world.play(1, reads_only=True)
-        states.add(world.balancer.sites.view()[1].state)
-    assert states == stands
-    assert not world.refused
+        simulation.run(1, reads_only=True)
+        states.add(simulation.balancer.sites.view()[1].state)
+    assert states == expected_states
+    assert not simulation.refused
 
 
 def test_attempts_that_had_little_time_left_are_no_sign_of_a_loss() -> None:
     # Beside busy loops, second attempts with 5 to 50 ms left before their deadline failed; halls were shut.
-    world = World(Status.TIMEOUT, 20_000)
-    world.play(10)
-    world.dark = {1, 2}
+    simulation = BalancerSimulation(Status.TIMEOUT, 20_000)
+    simulation.run(10)
+    simulation.unreachable_zones = {1, 2}
     for _ in range(10):
-        world.play(1)
-        assert {view.state for view in world.balancer.sites.view()} == {State.WHOLE}
+        simulation.run(1)
+        assert {view.state for view in simulation.balancer.sites.view()} == {State.WHOLE}
 
 
 def test_an_order_that_finds_no_server_but_in_a_lost_hall_is_refused_at_once() -> None:
     # Its nodes replaced by cold ones, whose budgets are soon used up, a balancer sent lost halls 44 orders in
     # 10 s: what is sent there in vain may have run, and what is refused is asked again.
-    world = World(servers=(4, 12, 12), cold=True)
-    world.play(5)
-    world.dark = {1, 2}
-    world.play(10)
-    assert [view.state for view in world.balancer.sites.view()] == [State.WHOLE, State.LOST, State.LOST]
-    own = {bytes([90, n]): 0 for n in range(4)}
-    world.halls = {s: hall for s, hall in world.halls.items() if hall} | own
-    world.do(
+    simulation = BalancerSimulation(servers=(4, 12, 12), slow_start=True)
+    simulation.run(5)
+    simulation.unreachable_zones = {1, 2}
+    simulation.run(10)
+    assert [view.state for view in simulation.balancer.sites.view()] == [State.WHOLE, State.LOST, State.LOST]
+    new_servers = {bytes([90, n]): 0 for n in range(4)}
+    simulation.zone_of = {s: zone for s, zone in simulation.zone_of.items() if zone} | new_servers
+    simulation.handle(
         ListUpdate(
             ListKind.CACHED,
-            [Member(s, zone=hall, born_us=0 if hall else world.now) for s, hall in world.halls.items()],
+            [
+                Member(s, zone=zone, born_us=0 if zone else simulation.now)
+                for s, zone in simulation.zone_of.items()
+            ],
         )
     )
-    began, refused = world.now, world.refused
-    world.play(10, orders_only=True)
-    assert not any(order for _, order, _ in world.sent_since(began))
-    assert world.refused > refused + 20 and not world.held_back
+    since, refused = simulation.now, simulation.refused
+    simulation.run(10, orders_only=True)
+    assert not any(is_order for _, is_order, _ in simulation.sent_since(since))
+    assert simulation.refused > refused + 20 and not simulation.waiting
 
 
 def test_a_hall_that_answers_reads_and_lets_each_order_hang_gets_an_order_now_and_then() -> None:
     # Any answer cleared the doubt: it got 20 of 100 orders, as many as before.
-    world = World(Status.TIMEOUT, 2_500_000)
-    world.play(10)
-    world.hang = {1}
-    world.play(10)
-    began = world.now
-    world.play(40)
-    there = [order for at, order, hall in world.sends if at >= began and hall == 1]
-    assert 2 <= sum(there) <= 7 and len(there) > 50
-    assert {view.state for view in world.balancer.sites.view()} == {State.WHOLE}
+    simulation = BalancerSimulation(Status.TIMEOUT, 2_500_000)
+    simulation.run(10)
+    simulation.zones_hanging_orders = {1}
+    simulation.run(10)
+    since = simulation.now
+    simulation.run(40)
+    sent = [is_order for at, is_order, zone in simulation.sends if at >= since and zone == 1]
+    assert 2 <= sum(sent) <= 7 and len(sent) > 50
+    assert {view.state for view in simulation.balancer.sites.view()} == {State.WHOLE}
--- a/tests/sites/test_orders_away.py
+++ b/tests/sites/test_orders_away.py
@@ -5,13 +5,13 @@
 from typing import Any
 
 import pytest
-from test_life import FAR, HERE, SECOND, THERE, World
+from test_site_states import THIRD_SITE, OWN_SITE, SECOND, OTHER_SITE, SitesUnderTest
 
 from roadlb.sites.events import Listed, Missed, OrdersKept, PutIn, Sent, State, TakeOut
 from roadlb.sites.life import DOUBT, LOSS, QUIET_US, SHORT_US, TRIAL_MOST_US, TRIAL_US
 
 
-class Hanging(World):
+class HangingOrders(SitesUnderTest):
     """Orders at `THERE` fail; all else is answered."""
 
     def __init__(
@@ -19,42 +19,46 @@
     ) -> None:
         super().__init__(*counts)
         self.now += QUIET_US
-        self.fail(THERE, 1, order=True)
-        self.answer(HERE, order=orders_elsewhere)
+        self.fail_attempts(OTHER_SITE, 1, order=True)
+        self.answer(OWN_SITE, order=orders_elsewhere)
         for number in range(servers):
             if reads:
-                self.answer(THERE)
-            self.tell(Missed(THERE, self.server(THERE, number), True))
+                self.answer(OTHER_SITE)
+            self.handle(Missed(OTHER_SITE, self.server(OTHER_SITE, number), True))
         if reads:
-            self.answer(THERE)
+            self.answer(OTHER_SITE)
 
-    def kept(self, bold: bool = False) -> bool:
-        return self.sites.shut(self.now, THERE, repeatable=False, bold=bold)
+    def keeps_orders_away(self, has_no_alternative: bool = False) -> bool:
+        return self.sites.shut(self.now, OTHER_SITE, repeatable=False, bold=has_no_alternative)
 
-    def trial(self) -> int:
+    def fail_trial(self) -> int:
         """Waits for the next trial, which fails after two seconds; how long it waited."""
         began = self.now
-        while self.kept():
+        while self.keeps_orders_away():
             self.now += 10_000
-        self.tell(Sent(THERE, self.server(THERE, 0), True))
-        assert self.kept(), "one at a time"
+        self.handle(Sent(OTHER_SITE, self.server(OTHER_SITE, 0), True))
+        assert self.keeps_orders_away(), "one at a time"
         waited, self.now = self.now - began, self.now + 2 * SECOND
-        self.tell(Missed(THERE, self.server(THERE, 1), True))  # sent before: no trial
-        self.answer(THERE)
-        self.fail(THERE, 1, order=True)
+        self.handle(Missed(OTHER_SITE, self.server(OTHER_SITE, 1), True))  # sent before: no trial
+        self.answer(OTHER_SITE)
+        self.fail_attempts(OTHER_SITE, 1, order=True)
         return waited
 
 
 def test_answers_to_reads_bring_no_orders_back_and_trials_grow_rare() -> None:
-    world = Hanging()
-    assert world.state(THERE) is State.WHOLE and not world.sites.shut(world.now, THERE, repeatable=True)
-    assert world.kept() and not world.sites.shut(world.now, FAR, False)
-    assert [round(world.trial() / TRIAL_US) for _ in range(6)] == [1, 2, 4, 8, 8, 8]
-    assert world.kept(bold=True), "nowhere else to go, and better refused than lost"
-    world.answer(THERE, order=True)
-    assert not world.kept()
-    said = [str(one) for one in world.said if isinstance(one, OrdersKept)]
-    assert said == [
+    harness = HangingOrders()
+    assert harness.state(OTHER_SITE) is State.WHOLE and not harness.sites.shut(
+        harness.now, OTHER_SITE, repeatable=True
+    )
+    assert harness.keeps_orders_away() and not harness.sites.shut(harness.now, THIRD_SITE, False)
+    assert [round(harness.fail_trial() / TRIAL_US) for _ in range(6)] == [1, 2, 4, 8, 8, 8]
+    assert harness.keeps_orders_away(has_no_alternative=True), (
+        "nowhere else to go, and better refused than lost"
+    )
+    harness.answer(OTHER_SITE, order=True)
+    assert not harness.keeps_orders_away()
+    texts = [str(action) for action in harness.actions if isinstance(action, OrdersKept)]
+    assert texts == [
         "site 1: orders keep away: 3 servers fail them and answer other requests",
         "site 1: orders go there: an order is answered",
     ]
@@ -62,59 +66,63 @@
 
 @pytest.mark.parametrize("case", [{"servers": DOUBT}, {"orders_elsewhere": False}, {"reads": False}])
 def test_too_little_or_what_holds_for_all_keeps_no_orders_away(case: dict[str, Any]) -> None:
-    world = Hanging(**case)
-    assert not any(isinstance(one, OrdersKept) for one in world.said)
+    harness = HangingOrders(**case)
+    assert not any(isinstance(action, OrdersKept) for action in harness.actions)
 
 
 def test_a_small_site_and_one_that_answered_an_order_just_now_are_not_judged() -> None:
-    assert not Hanging(4, LOSS - 1, 4).kept()
-    world = World()
-    for still_us, away in ((QUIET_US // 2, False), (QUIET_US, True)):
-        world.answer(THERE, order=True)
-        world.now += still_us
-        world.fail(THERE, 1, order=True)
+    assert not HangingOrders(4, LOSS - 1, 4).keeps_orders_away()
+    harness = SitesUnderTest()
+    for silence_us, kept_away in ((QUIET_US // 2, False), (QUIET_US, True)):
+        harness.answer(OTHER_SITE, order=True)
+        harness.now += silence_us
+        harness.fail_attempts(OTHER_SITE, 1, order=True)
         for number in range(LOSS):
-            world.answer(HERE, order=True)
-            world.answer(THERE)
-            world.tell(Missed(THERE, world.server(THERE, number), True))
-        assert world.sites.sites[THERE].orders_away is away
+            harness.answer(OWN_SITE, order=True)
+            harness.answer(OTHER_SITE)
+            harness.handle(Missed(OTHER_SITE, harness.server(OTHER_SITE, number), True))
+        assert harness.sites.sites[OTHER_SITE].orders_away is kept_away
 
 
 def test_what_leaves_the_list_or_starts_anew_says_nothing_of_its_site() -> None:
-    world = Hanging()
-    others = {n: {world.server(n, i): 0 for i in range(4)} for n in (HERE, FAR)}
-    there = {world.server(THERE, i): 0 for i in range(1, 4)}
-    world.tell(Listed({**others, THERE: there}))
-    assert world.kept(), "two of the three are as they were"
-    world.tell(Listed({**others, THERE: {**there, world.server(THERE, 1): world.now}}))
-    assert not world.kept()
-    world = Hanging()
-    world.tell(Listed(others))
-    world.tell(Listed({**others, THERE: there}))
-    assert not world.kept()
+    harness = HangingOrders()
+    others = {n: {harness.server(n, i): 0 for i in range(4)} for n in (OWN_SITE, THIRD_SITE)}
+    servers_there = {harness.server(OTHER_SITE, i): 0 for i in range(1, 4)}
+    harness.handle(Listed({**others, OTHER_SITE: servers_there}))
+    assert harness.keeps_orders_away(), "two of the three are as they were"
+    harness.handle(
+        Listed({**others, OTHER_SITE: {**servers_there, harness.server(OTHER_SITE, 1): harness.now}})
+    )
+    assert not harness.keeps_orders_away()
+    harness = HangingOrders()
+    harness.handle(Listed(others))
+    harness.handle(Listed({**others, OTHER_SITE: servers_there}))
+    assert not harness.keeps_orders_away()
 
 
 def test_orders_kept_away_stay_so_through_a_loss_and_what_failed_in_a_loss_does_not_count() -> None:
-    for kept in (True, False):
-        world = Hanging(servers=LOSS if kept else DOUBT)
-        world.now += QUIET_US
-        world.fail(THERE, 1)
-        world.answer(HERE, order=True)
-        world.fail(THERE, LOSS)
-        assert world.state(THERE) is State.LOST
-        world.now += SHORT_US // 2
-        world.answer(THERE)
-        world.tell(Missed(THERE, world.server(THERE, 3), True))
-        assert world.state(THERE) is State.WHOLE and (world.sites.sites[THERE].orders_away is kept)
-    world = Hanging()
-    world.tell(TakeOut(THERE))
-    world.tell(PutIn(THERE))
-    assert not world.kept()
+    for kept_away in (True, False):
+        harness = HangingOrders(servers=LOSS if kept_away else DOUBT)
+        harness.now += QUIET_US
+        harness.fail_attempts(OTHER_SITE, 1)
+        harness.answer(OWN_SITE, order=True)
+        harness.fail_attempts(OTHER_SITE, LOSS)
+        assert harness.state(OTHER_SITE) is State.LOST
+        harness.now += SHORT_US // 2
+        harness.answer(OTHER_SITE)
+        harness.handle(Missed(OTHER_SITE, harness.server(OTHER_SITE, 3), True))
+        assert harness.state(OTHER_SITE) is State.WHOLE and (
+            harness.sites.sites[OTHER_SITE].orders_away is kept_away
+        )
+    harness = HangingOrders()
+    harness.handle(TakeOut(OTHER_SITE))
+    harness.handle(PutIn(OTHER_SITE))
+    assert not harness.keeps_orders_away()
 
 
 def test_a_trial_that_nobody_hears_of_is_not_waited_for_for_ever() -> None:
-    world = Hanging()
-    world.now += TRIAL_US
-    world.tell(Sent(THERE, world.server(THERE, 3), True))
-    world.now += TRIAL_MOST_US
-    assert not world.kept()
+    harness = HangingOrders()
+    harness.now += TRIAL_US
+    harness.handle(Sent(OTHER_SITE, harness.server(OTHER_SITE, 3), True))
+    harness.now += TRIAL_MOST_US
+    assert not harness.keeps_orders_away()
--- a/tests/sites/test_plan.py
+++ b/tests/sites/test_plan.py
@@ -17,20 +17,20 @@
 from roadlb.sites.forecast import HOMES, USABLE, Demand, SiteSize, curve, hit_share, loss, losses
 from roadlb.sites.refusal import PlanLine
 
-LOST = Path(__file__).parents[2] / "examples" / "incidents" / "hall-lost.toml"
+ZONE_LOSS = Path(__file__).parents[2] / "examples" / "incidents" / "hall-lost.toml"
 SITES = [SiteSize(name, 4, 10.0, 0.25, 20.0) for name in "abc"]
 READS = Demand("read", "one", False, 1_000, 0.01, 2.0, 0)  # 10 cores of work
 ORDERS = Demand("order", "one", False, 100, 0.1, 10.0, 1)  # and 10
 
 
-def plan(*lines: dict[str, Any], **more: Any) -> tuple[PlanLine, ...]:
+def read_plan_lines(*lines: dict[str, Any], **more: Any) -> tuple[PlanLine, ...]:
     pairs = Pairs.from_json({"refusal": {"plan": list(lines), **more}})
     return read_plan(pairs, ["grid-read", "order"], ["energia", "cesty"])
 
 
 def test_a_plan_is_read_line_by_line() -> None:
-    assert plan() == ()
-    assert plan(
+    assert read_plan_lines() == ()
+    assert read_plan_lines(
         {"share": "over", "customer": "cesty"},
         {"class": "grid-read", "try": "repeat"},
         {"class": "order", "key": "cold"},
@@ -48,25 +48,29 @@
 )
 def test_a_fault_in_a_plan_names_its_key_and_the_remedy(line: dict[str, Any], text: str) -> None:
     with pytest.raises(ConfigError, match=text):
-        plan(line)
+        read_plan_lines(line)
     with pytest.raises(ConfigError, match="refusal.order: is not known"):
-        plan(order=["x"])
+        read_plan_lines(order=["x"])
     with pytest.raises(ConfigError, match="refusal.plan: 'x,y' is no list of objects"):
         read_plan(Pairs.from_json({"refusal": {"plan": ["x", "y"]}}), [], [])
 
 
 def test_a_loss_is_arithmetic() -> None:
-    one = loss(SITES, [READS, ORDERS], ["a"], told_s=2.0)
+    one_lost = loss(SITES, [READS, ORDERS], ["a"], told_s=2.0)
     # 20 cores of work on 20 * 0.92: (18.4 / 20) ** 10 = 0.434, and 18.4 / 1.434 ** 0.1 = 17.75 are carried.
-    assert one.load == pytest.approx({"b": 20 / 18.4, "c": 20 / 18.4})
-    assert one.kept == pytest.approx({ORDERS: 1.0, READS: 0.775}, abs=1e-3)
-    assert one.worth == pytest.approx(2_550 / 3_000, abs=1e-3)
-    assert not one.borne and one.back_95_s is not None and 2.0 <= one.back_95_s <= one.back_98_s < 9
-    two = loss(SITES, [READS, ORDERS], ["a", "b"], told_s=2.0)
-    assert two.kept == pytest.approx({ORDERS: 0.92, READS: 0.0}, abs=1e-3)
+    assert one_lost.load == pytest.approx({"b": 20 / 18.4, "c": 20 / 18.4})
+    assert one_lost.kept == pytest.approx({ORDERS: 1.0, READS: 0.775}, abs=1e-3)
+    assert one_lost.worth == pytest.approx(2_550 / 3_000, abs=1e-3)
+    assert (
+        not one_lost.borne
+        and one_lost.back_95_s is not None
+        and 2.0 <= one_lost.back_95_s <= one_lost.back_98_s < 9
+    )
+    two_lost = loss(SITES, [READS, ORDERS], ["a", "b"], told_s=2.0)
+    assert two_lost.kept == pytest.approx({ORDERS: 0.92, READS: 0.0}, abs=1e-3)
     assert loss(SITES, [READS, ORDERS], [], 2.0).borne
-    assert [len(found.lost) for found in losses(SITES, [READS, ORDERS], 2.0)] == [0, 1, 1, 1, 2, 2, 2]
-    assert [found.lost for found in losses(SITES[:1], [READS], 2.0)] == [()]
+    assert [len(forecast.lost) for forecast in losses(SITES, [READS, ORDERS], 2.0)] == [0, 1, 1, 1, 2, 2, 2]
+    assert [forecast.lost for forecast in losses(SITES[:1], [READS], 2.0)] == [()]
     with pytest.raises(ValueError, match="there is no site x"):
         loss(SITES, [READS], ["x"], 2.0)
 
@@ -92,44 +96,48 @@
 
 
 def test_what_is_refused_is_summed_up_in_worth() -> None:
-    one = loss(SITES, [READS, ORDERS], ["a"], told_s=2.0)
-    assert one.refused_worth(lambda demand: demand.name) == {
+    one_lost = loss(SITES, [READS, ORDERS], ["a"], told_s=2.0)
+    assert one_lost.refused_worth(lambda demand: demand.name) == {
         "order": (1_000.0, 0.0),
         "read": (2_000.0, pytest.approx(450.0, abs=1)),
     }
-    assert one.refused_worth(lambda demand: demand.customer)["one"][1] == pytest.approx(450.0, abs=1)
+    assert one_lost.refused_worth(lambda demand: demand.customer)["one"][1] == pytest.approx(450.0, abs=1)
 
 
 def test_the_command_draws_and_tells_whether_a_loss_is_borne(tmp_path: Path) -> None:
     picture = tmp_path / "plan.svg"
-    told = CliRunner().invoke(roadlb, ["site", "plan", str(LOST), "--plot", str(picture)])
-    assert told.exit_code == 0 and "borne" in told.output and "worth a second: grid-read" in told.output
+    result = CliRunner().invoke(roadlb, ["site", "plan", str(ZONE_LOSS), "--plot", str(picture)])
+    assert result.exit_code == 0 and "borne" in result.output and "worth a second: grid-read" in result.output
     assert "nothing lost" in picture.read_text()
-    data = json.loads(CliRunner().invoke(roadlb, ["site", "plan", str(LOST), "--json"]).output)
-    two = next(one for one in data["losses"] if len(one["lost"]) == 2)
-    each = [row["worth_refused_per_s"] for row in two["refused"]]
-    assert sum(two["worth_refused_per_s"]["class"].values()) == pytest.approx(sum(each), abs=0.1)
-    assert sum(two["worth_refused_per_s"]["customer"].values()) == pytest.approx(sum(each), abs=0.1)
+    data = json.loads(CliRunner().invoke(roadlb, ["site", "plan", str(ZONE_LOSS), "--json"]).output)
+    two_lost = next(forecast for forecast in data["losses"] if len(forecast["lost"]) == 2)
+    worth_refused = [row["worth_refused_per_s"] for row in two_lost["refused"]]
+    assert sum(two_lost["worth_refused_per_s"]["class"].values()) == pytest.approx(
+        sum(worth_refused), abs=0.1
+    )
+    assert sum(two_lost["worth_refused_per_s"]["customer"].values()) == pytest.approx(
+        sum(worth_refused), abs=0.1
+    )
 
 
 def test_the_command_tells_what_a_described_deployment_bears() -> None:
-    told = CliRunner().invoke(roadlb, ["site", "plan", str(LOST), "--saved", "0.2"])
-    assert told.exit_code == 0 and "hall-a and hall-b" in told.output and "of grid-read" in told.output
-    data = json.loads(CliRunner().invoke(roadlb, ["site", "plan", str(LOST), "--json"]).output)
-    assert [one["lost"] for one in data["losses"]][:2] == [[], ["hall-a"]]
-    assert all(0 <= one["worth"] <= 1 for one in data["losses"])
+    result = CliRunner().invoke(roadlb, ["site", "plan", str(ZONE_LOSS), "--saved", "0.2"])
+    assert result.exit_code == 0 and "hall-a and hall-b" in result.output and "of grid-read" in result.output
+    data = json.loads(CliRunner().invoke(roadlb, ["site", "plan", str(ZONE_LOSS), "--json"]).output)
+    assert [forecast["lost"] for forecast in data["losses"]][:2] == [[], ["hall-a"]]
+    assert all(0 <= forecast["worth"] <= 1 for forecast in data["losses"])
 
 
 def test_words_go_to_each_door_and_a_no_is_told() -> None:
-    asked = []
+    paths = []
 
     class Balancer(BaseHTTPRequestHandler):
         def do_PUT(self) -> None:
-            asked.append(self.path)
-            last = "hall-a" in self.path
+            paths.append(self.path)
+            is_last = "hall-a" in self.path
             body = (
                 b"hall-a: is the last site in service, and stays"
-                if last
+                if is_last
                 else json.dumps(
                     {
                         "site": "hall b",
@@ -142,7 +150,7 @@
                     }
                 ).encode()
             )
-            self.send_response(409 if last else 200)
+            self.send_response(409 if is_last else 200)
             self.end_headers()
             self.wfile.write(body)
 
@@ -151,12 +159,16 @@
 
     with HTTPServer(("127.0.0.1", 0), Balancer) as server:
         Thread(target=server.serve_forever, daemon=True).start()
-        door = f"127.0.0.1:{server.server_port}"
-        told = CliRunner().invoke(roadlb, ["site", "out", "hall b", door, door])
-        assert told.exit_code == 0 and told.output.count(" out ") == 2
-        refused = CliRunner().invoke(roadlb, ["site", "out", "hall-a", door, "--json"])
-        assert refused.exit_code == 1 and "stays" in json.loads(refused.stdout)["faults"][door]
+        address = f"127.0.0.1:{server.server_port}"
+        result = CliRunner().invoke(roadlb, ["site", "out", "hall b", address, address])
+        assert result.exit_code == 0 and result.output.count(" out ") == 2
+        refused = CliRunner().invoke(roadlb, ["site", "out", "hall-a", address, "--json"])
+        assert refused.exit_code == 1 and "stays" in json.loads(refused.stdout)["faults"][address]
         server.shutdown()
-    assert asked == ["/control/site/hall%20b/out"] * 2 + ["/control/site/hall-a/out"]
-    gone = CliRunner().invoke(roadlb, ["site", "status", door, "nowhere"])
-    assert gone.exit_code == 1 and "not reached" in gone.output and "is not host:port" in gone.output
+    assert paths == ["/control/site/hall%20b/out"] * 2 + ["/control/site/hall-a/out"]
+    unreachable = CliRunner().invoke(roadlb, ["site", "status", address, "nowhere"])
+    assert (
+        unreachable.exit_code == 1
+        and "not reached" in unreachable.output
+        and "is not host:port" in unreachable.output
+    )
--- a/tests/sites/test_refusal.py
+++ b/tests/sites/test_refusal.py
@@ -16,7 +16,7 @@
     PlanLine(READ, warm_key=False),
     PlanLine(READ),
 )
-KINDS = [
+REQUESTS = [
     (READ, True, False, False),
     (READ, False, True, False),
     (READ, False, False, False),
@@ -27,16 +27,16 @@
 
 @pytest.mark.parametrize("share", [0.1, 0.3, 0.5, 0.7, 0.9])
 def test_a_plan_refuses_its_lines_in_turn(share: float) -> None:
-    refusals, luck = Refusals(PLAN), random.Random(1)
-    gone = [0] * len(KINDS)
+    refusals, rng = Refusals(PLAN), random.Random(1)
+    refused_counts = [0] * len(REQUESTS)
     for n in range(10_000):
-        kind = n % len(KINDS)
-        cls, over, repeat, warm = KINDS[kind]
-        rank = refusals.rank(1.0, cls, 0, over, repeat, warm)
+        index = n % len(REQUESTS)
+        class_index, is_over_share, is_retry, has_warm_key = REQUESTS[index]
+        rank = refusals.rank(1.0, class_index, 0, is_over_share, is_retry, has_warm_key)
         refusals.ask(rank)
         if n >= 1_000:
-            gone[kind] += refusals.refused(rank, luck.random(), share)
-    shares = [count / 1_800 for count in gone]
+            refused_counts[index] += refusals.refused(rank, rng.random(), share)
+    shares = [count / 1_800 for count in refused_counts]
     assert shares == pytest.approx([min(1, max(0, share * 5 - line)) for line in range(5)], abs=0.05)
 
 
@@ -51,105 +51,107 @@
 
 
 def test_a_customer_is_over_its_share_by_the_excess_alone() -> None:
-    quotas, luck = Quotas([100.0, 1e9]), random.Random(1)
+    quotas, rng = Quotas([100.0, 1e9]), random.Random(1)
     for _ in range(20):
         for _ in range(100):
             quotas.ask(0)
             quotas.ask(7)  # a customer that nobody knows
         quotas.fade()
-    over = sum(quotas.over(0, 2, luck.random()) for _ in range(2_000)) / 2_000
+    over = sum(quotas.over(0, 2, rng.random()) for _ in range(2_000)) / 2_000
     assert over == pytest.approx(0.5, abs=0.05) and not quotas.over(1, 2, 1.0) and not quotas.over(7, 2, 1.0)
 
 
-class Servers:
+class QueueSimulation:
     """One queue that serves so many a second, each after at least `takes_us`, before one balancer."""
 
-    def __init__(self, per_s: float, takes_us: int = 30_000, aim_us: int = 500_000) -> None:
-        self.hand, self.aim, self.takes = WorkInHand(), aim_us, takes_us
-        self.per_s, self.free_at, self.now = per_s, 0, 1_000_000
-        self.out: list[int] = []
-        self.asked = 0
+    def __init__(self, rate_per_s: float, latency_us: int = 30_000, aim_us: int = 500_000) -> None:
+        self.in_flight_load, self.aim_us, self.latency_us = WorkInHand(), aim_us, latency_us
+        self.rate_per_s, self.free_at, self.now = rate_per_s, 0, 1_000_000
+        self.finish_times: list[int] = []
+        self.arrived_count = 0
 
-    def play(self, asked_per_s: float, seconds: float, answers: bool = True) -> list[float]:
+    def run(self, demand_per_s: float, seconds: float, answers: bool = True) -> list[float]:
         """Open-loop demand; the wait of each admitted request, in seconds."""
-        waits, luck = [], random.Random(1)
+        waits, rng = [], random.Random(1)
         end = self.now + int(seconds * 1e6)
         while self.now < end:
-            self.now += int(luck.expovariate(asked_per_s / 1e6)) + 1
-            while self.out and self.out[0] <= self.now:
-                self.hand.answered(at := self.out.pop(0))
-                self.hand.ended(at, self.aim)
-            self.asked += 1
-            if luck.random() < self.hand.shortage(self.now):
+            self.now += int(rng.expovariate(demand_per_s / 1e6)) + 1
+            while self.finish_times and self.finish_times[0] <= self.now:
+                self.in_flight_load.answered(at := self.finish_times.pop(0))
+                self.in_flight_load.ended(at, self.aim_us)
+            self.arrived_count += 1
+            if rng.random() < self.in_flight_load.shortage(self.now):
                 continue
-            self.hand.began(self.now, self.aim)
+            self.in_flight_load.began(self.now, self.aim_us)
             if answers:
-                self.free_at = max(self.free_at + int(1e6 / self.per_s), self.now + self.takes)
-                self.out.append(self.free_at)
+                self.free_at = max(self.free_at + int(1e6 / self.rate_per_s), self.now + self.latency_us)
+                self.finish_times.append(self.free_at)
                 waits.append((self.free_at - self.now) / 1e6)
         return waits
 
 
-@pytest.mark.parametrize("times", [1.5, 2.0, 4.0, 8.0])
-def test_what_remains_is_used_second_for_second_whatever_is_asked(times: float) -> None:
+@pytest.mark.parametrize("load", [1.5, 2.0, 4.0, 8.0])
+def test_what_remains_is_used_second_for_second_whatever_is_asked(load: float) -> None:
     # An integral of missed aims swung between all and nothing: 14% in one second, 96% in the next.
-    servers = Servers(200)
-    servers.play(120, 10)
-    servers.play(times * 200, 3)
-    served = [len(waits) for waits in (servers.play(times * 200, 1) for _ in range(15))]
+    queue = QueueSimulation(200)
+    queue.run(120, 10)
+    queue.run(load * 200, 3)
+    served = [len(waits) for waits in (queue.run(load * 200, 1) for _ in range(15))]
     assert min(served) > 0.8 * 200 and sum(served) > 0.95 * 200 * 15
-    assert max(servers.play(times * 200, 2)) < 0.45, "in time"
+    assert max(queue.run(load * 200, 2)) < 0.45, "in time"
 
 
 def test_a_queue_of_a_minute_is_not_taken_for_usual() -> None:
     # The wait that was held grew with what was taken for usual, to 0.6 of the aim, and answers came late.
-    servers = Servers(200)
-    servers.play(120, 10)
-    early, late = servers.play(800, 10), servers.play(800, 60)[-2_000:]
+    queue = QueueSimulation(200)
+    queue.run(120, 10)
+    early, late = queue.run(800, 10), queue.run(800, 60)[-2_000:]
     assert sum(late) / len(late) < 1.3 * sum(early) / len(early)
 
 
-@pytest.mark.parametrize("takes_us", [5_000, 100_000, 150_000])
-def test_a_usual_wait_is_no_reason_to_shed(takes_us: int) -> None:
-    servers = Servers(1_000, takes_us)
-    servers.play(200, 30)
-    asked = servers.asked
-    assert len(servers.play(200, 10)) > 0.95 * (servers.asked - asked)
+@pytest.mark.parametrize("latency_us", [5_000, 100_000, 150_000])
+def test_a_usual_wait_is_no_reason_to_shed(latency_us: int) -> None:
+    queue = QueueSimulation(1_000, latency_us)
+    queue.run(200, 30)
+    arrived_before = queue.arrived_count
+    assert len(queue.run(200, 10)) > 0.95 * (queue.arrived_count - arrived_before)
 
 
 def test_nothing_is_shed_before_anything_is_known_nor_after_a_pause() -> None:
-    servers = Servers(200)
-    assert servers.hand.shortage(servers.now) == 0
-    servers.play(120, 10)
-    servers.now += 600_000_000
-    servers.play(1, 2)
-    assert servers.hand.shortage(servers.now) == 0
+    queue = QueueSimulation(200)
+    assert queue.in_flight_load.shortage(queue.now) == 0
+    queue.run(120, 10)
+    queue.now += 600_000_000
+    queue.run(1, 2)
+    assert queue.in_flight_load.shortage(queue.now) == 0
 
 
 def test_with_no_answer_at_all_a_few_are_let_through() -> None:
-    servers = Servers(200)
-    servers.play(120, 10)
-    servers.play(400, 5, answers=False)
-    assert MOST <= servers.hand.shortage(servers.now) <= DEEP_MOST
+    queue = QueueSimulation(200)
+    queue.run(120, 10)
+    queue.run(400, 5, answers=False)
+    assert MOST <= queue.in_flight_load.shortage(queue.now) <= DEEP_MOST
 
 
 def test_where_one_in_forty_can_be_served_answers_are_in_time_still() -> None:
     # With 0.05 let in at any wait twice of what could be served came, and every answer was late.
-    servers = Servers(50)
-    servers.play(30, 10)
-    servers.play(2_000, 30)
-    waits = servers.play(2_000, 10)
+    queue = QueueSimulation(50)
+    queue.run(30, 10)
+    queue.run(2_000, 30)
+    waits = queue.run(2_000, 10)
     assert sum(wait < 0.5 for wait in waits) > 0.9 * 50 * 10
 
 
 def test_the_mean_decides_in_deep_shortage_alone_and_not_on_little_evidence() -> None:
-    steady, luck = Steady(), random.Random(1)
+    steady, rng = Steady(), random.Random(1)
     for _ in range(3_000):
-        way = luck.choice((0.2, 0.6, 0.95))
-        assert steady.share(way, way, 10_000, 10_000) == way, "0.58 in the mean: the quick share, as it was"
-    seldom = Steady()
+        wait_ratio = rng.choice((0.2, 0.6, 0.95))
+        assert steady.share(wait_ratio, wait_ratio, 10_000, 10_000) == wait_ratio, (
+            "0.58 in the mean: the quick share, as it was"
+        )
+    rarely_asked = Steady()
     for _ in range(5):
-        assert seldom.share(1.5, MOST, 60_000_000, 10_000) == MOST, "five in five minutes prove nothing"
+        assert rarely_asked.share(1.5, MOST, 60_000_000, 10_000) == MOST, "five in five minutes prove nothing"
     for _ in range(2_000):
         steady.share(1.1, MOST, 10_000, 10_000)
     assert steady.share(1.1, MOST, 10_000, 10_000) > 0.98 and steady.share(0.5, 0.5, 10_000, 10_000) > 0.85
--- /dev/null
+++ b/tests/sites/test_site_states.py
@@ -0,0 +1,552 @@
+"""The table of a site's life, line by line: what makes it doubtful, lost, returning, whole and out."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from roadlb.sites.events import (
+    Answered,
+    Changed,
+    Declined,
+    Doubted,
+    Listed,
+    Missed,
+    Pulse,
+    PutIn,
+    Sent,
+    State,
+    TakeOut,
+)
+from roadlb.sites.life import (
+    DOUBT,
+    DOUBT_US,
+    KEEP_US,
+    LOSS,
+    MOST_SITES,
+    QUIET_MOST_US,
+    QUIET_TIMES,
+    QUIET_US,
+    SHORT_US,
+    SLOW_US,
+    STEADY_US,
+    STEP_ANSWERS,
+    STEP_US,
+    STEPS,
+    TRIAL_MOST_US,
+    TRIAL_US,
+    Sites,
+)
+
+SECOND = 1_000_000
+OWN_SITE, OTHER_SITE, THIRD_SITE = 0, 1, 2
+
+
+class SitesUnderTest:
+    """Three sites with so many servers each, and a clock."""
+
+    def __init__(self, *server_counts: int) -> None:
+        self.sites, self.now = Sites(), SECOND
+        self.server_counts = server_counts or (4, 4, 4)
+        self.actions: list[Any] = []
+        self.handle(
+            Listed({n: {self.server(n, i): 0 for i in range(c)} for n, c in enumerate(self.server_counts)})
+        )
+
+    @staticmethod
+    def server(site: int, number: int) -> bytes:
+        return bytes([site, number])
+
+    def handle(self, event: Any) -> list[Any]:
+        actions = self.sites.handle(self.now, event)
+        self.actions += actions
+        return actions
+
+    def fail_attempts(self, site: int, count: int, order: bool = False) -> None:
+        for i in range(count):
+            self.now += 1_000
+            self.handle(Missed(site, self.server(site, i), order))
+
+    def answer(self, site: int, order: bool = False) -> None:
+        self.now += 1_000
+        self.handle(Answered(site, self.server(site, 0), order))
+
+    def lose_site(self, site: int) -> None:
+        self.now += QUIET_US
+        self.fail_attempts(site, 1)
+        self.answer(OWN_SITE if site != OWN_SITE else THIRD_SITE)
+        self.fail_attempts(site, LOSS)
+
+    def state(self, site: int) -> State:
+        return next(view.state for view in self.sites.view() if view.site == site)
+
+    def share(self, site: int) -> float:
+        return next(view.share for view in self.sites.view() if view.site == site)
+
+    def pass_step(self, site: int, answers: int = STEP_ANSWERS) -> None:
+        """A step's time passes, with so many answers."""
+        self.now += STEP_US
+        for _ in range(answers):
+            self.answer(site)
+
+
+def test_each_failure_counts_until_any_answer() -> None:
+    harness = SitesUnderTest()
+    harness.fail_attempts(OTHER_SITE, DOUBT)
+    assert harness.state(OTHER_SITE) is State.DOUBTFUL
+    assert harness.sites.shut(harness.now, OTHER_SITE, repeatable=False)
+    assert not harness.sites.shut(harness.now, OTHER_SITE, repeatable=True)
+    harness.answer(OTHER_SITE)
+    assert harness.state(OTHER_SITE) is State.WHOLE
+    harness.fail_attempts(OTHER_SITE, DOUBT - 1)
+    assert harness.state(OTHER_SITE) is State.WHOLE, "counted anew"
+
+
+def test_a_site_is_lost_when_others_answer_and_never_when_nobody_does() -> None:
+    harness = SitesUnderTest()
+    for site in (OWN_SITE, OTHER_SITE, THIRD_SITE):
+        harness.fail_attempts(site, 4)
+    assert {harness.state(site) for site in (OWN_SITE, OTHER_SITE, THIRD_SITE)} == {State.DOUBTFUL}, (
+        "it may be our own link"
+    )
+    harness.answer(OWN_SITE)
+    harness.fail_attempts(OTHER_SITE, 1)
+    assert harness.state(OTHER_SITE) is State.LOST and harness.state(THIRD_SITE) is State.DOUBTFUL
+    assert [a for a in harness.actions if isinstance(a, Changed) and a.after is State.LOST] == [
+        Changed(OTHER_SITE, State.DOUBTFUL, State.LOST, "3 servers fail, none answers")
+    ]
+
+
+def test_doubt_is_ended_by_a_trial_one_way_or_the_other() -> None:
+    # What has failed is avoided one by one: in a hall of four, a third server was never asked, for 45 s.
+    for answers, after in ((True, State.WHOLE), (False, State.LOST)):
+        harness = SitesUnderTest()
+        harness.fail_attempts(OTHER_SITE, DOUBT)
+        harness.answer(OWN_SITE)
+        harness.now += DOUBT_US
+        assert harness.sites.due(harness.now) == OTHER_SITE
+        harness.handle(Sent(OTHER_SITE))
+        assert harness.sites.due(harness.now) == -1
+        harness.handle((Answered if answers else Missed)(OTHER_SITE, harness.server(OTHER_SITE, 0)))
+        assert harness.state(OTHER_SITE) is after
+
+
+def test_a_trial_that_its_copy_overtakes_ends_a_long_doubt_and_raises_none() -> None:
+    harness = SitesUnderTest()
+    for _ in range(20):
+        harness.sites.overtaken(harness.now, OTHER_SITE, harness.server(OTHER_SITE, 0))
+        harness.sites.overtaken(harness.now, OTHER_SITE, harness.server(OTHER_SITE, 1))
+    assert harness.state(OTHER_SITE) is State.WHOLE
+    harness.fail_attempts(OTHER_SITE, DOUBT)
+    harness.answer(OWN_SITE)
+    for n in range(4):
+        harness.sites.overtaken(harness.now, OTHER_SITE, harness.server(OTHER_SITE, n))
+    assert harness.state(OTHER_SITE) is State.DOUBTFUL, "two have ended, and those that are left are slow"
+    harness.now += DOUBT_US
+    harness.sites.overtaken(harness.now, OTHER_SITE, harness.server(OTHER_SITE, 0))
+    assert harness.state(OTHER_SITE) is State.LOST
+
+
+def test_of_a_site_that_copies_overtake_an_attempt_in_turn_runs_to_its_end() -> None:
+    harness = SitesUnderTest()
+    harness.answer(OTHER_SITE)
+    for n in range(LOSS):
+        assert not harness.sites.keeps(harness.now, OTHER_SITE)
+        harness.now += QUIET_US // LOSS + 1
+        harness.sites.overtaken(harness.now, OTHER_SITE, harness.server(OTHER_SITE, n))
+    assert harness.state(OTHER_SITE) is State.WHOLE
+    assert harness.sites.keeps(harness.now, OTHER_SITE) and not harness.sites.keeps(harness.now, OTHER_SITE)
+    harness.now += KEEP_US
+    assert harness.sites.keeps(harness.now, OTHER_SITE)
+    harness.answer(OTHER_SITE)
+    harness.now += 2 * QUIET_US
+    assert not harness.sites.keeps(harness.now, OTHER_SITE), "an answer begins the count anew"
+
+
+def test_slow_by_overload_is_not_lost() -> None:
+    harness = SitesUnderTest(20, 20, 20)
+    for i in range(200):
+        harness.now += 5_000
+        harness.handle(Missed(OTHER_SITE, harness.server(OTHER_SITE, i % 20)))
+        if i % 2:
+            harness.answer(OTHER_SITE)  # late as it is
+        harness.answer(OWN_SITE)
+    assert not any(isinstance(a, Changed) and a.after is State.LOST for a in harness.actions)
+
+
+def test_one_that_answered_a_moment_ago_is_not_lost_by_failures_that_come_together() -> None:
+    harness = SitesUnderTest()
+    harness.answer(OTHER_SITE)
+    harness.fail_attempts(OTHER_SITE, LOSS)
+    harness.answer(OWN_SITE)
+    harness.now += QUIET_US // 2
+    harness.fail_attempts(OTHER_SITE, LOSS)
+    assert harness.state(OTHER_SITE) is State.DOUBTFUL
+    harness.now += QUIET_US // 2
+    harness.fail_attempts(OTHER_SITE, 1)
+    assert harness.state(OTHER_SITE) is State.LOST
+
+
+def test_one_whose_answers_took_long_is_lost_by_a_longer_silence_alone() -> None:
+    def silence_before_loss(took_us: int, ago_us: int = 0) -> int:
+        """How long it was unheard when it was lost."""
+        harness = SitesUnderTest()
+        harness.handle(Answered(OTHER_SITE, harness.server(OTHER_SITE, 0), took_us=took_us))
+        harness.now += ago_us
+        harness.handle(Answered(OTHER_SITE, harness.server(OTHER_SITE, 0), took_us=20_000))
+        last_answer = harness.now
+        while harness.state(OTHER_SITE) is not State.LOST:
+            harness.now += 50_000
+            harness.answer(OWN_SITE)
+            harness.fail_attempts(OTHER_SITE, LOSS)
+        return harness.now - last_answer
+
+    usual = silence_before_loss(20_000)
+    assert QUIET_US <= usual < QUIET_US + 200_000
+    assert QUIET_TIMES * 500_000 <= silence_before_loss(500_000) < QUIET_TIMES * 500_000 + 200_000
+    assert QUIET_MOST_US <= silence_before_loss(5 * SECOND) < QUIET_MOST_US + 200_000, "in the end it is lost"
+    assert silence_before_loss(500_000, SLOW_US + 1) == usual, "that was long ago"
+
+
+@pytest.mark.parametrize("servers", [1, LOSS - 1])
+def test_a_site_of_few_servers_is_not_judged_as_one(servers: int) -> None:
+    harness = SitesUnderTest(4, servers, 4)
+    for _ in range(50):
+        harness.answer(OWN_SITE)
+        harness.fail_attempts(OTHER_SITE, servers)
+    assert harness.state(OTHER_SITE) is State.WHOLE and not harness.sites.shut(harness.now, OTHER_SITE, False)
+
+
+def test_one_server_that_fails_again_and_again_is_not_its_site() -> None:
+    harness = SitesUnderTest()
+    for _ in range(100):
+        harness.answer(OWN_SITE)
+        harness.handle(Missed(OTHER_SITE, harness.server(OTHER_SITE, 0)))
+    assert harness.state(OTHER_SITE) is State.WHOLE
+
+
+def test_a_lost_site_is_tried_in_turn_with_what_may_run_twice() -> None:
+    harness = SitesUnderTest()
+    harness.lose_site(OTHER_SITE)
+    assert harness.sites.due(harness.now) == -1 and harness.sites.shut(
+        harness.now, OTHER_SITE, repeatable=True
+    )
+    harness.now += TRIAL_US
+    assert harness.sites.due(harness.now) == OTHER_SITE
+    assert not harness.sites.shut(harness.now, OTHER_SITE, repeatable=True)
+    assert harness.sites.shut(harness.now, OTHER_SITE, repeatable=False)
+    assert not harness.sites.shut(harness.now, OTHER_SITE, repeatable=True, bold=True), "nowhere else to go"
+    assert harness.sites.shut(harness.now, OTHER_SITE, repeatable=False, bold=True), (
+        "what it would lose stays lost"
+    )
+    harness.handle(Sent(OTHER_SITE))
+    assert harness.sites.due(harness.now) == -1 and harness.sites.shut(
+        harness.now, OTHER_SITE, repeatable=True
+    )
+
+
+def test_trials_of_a_balancer_with_little_traffic_are_rarer() -> None:
+    harness = SitesUnderTest()
+    harness.sites.usual([(OTHER_SITE, 2.0), (OWN_SITE, 2.0)])
+    harness.lose_site(OTHER_SITE)
+    harness.now += TRIAL_US
+    assert harness.sites.due(harness.now) == -1
+    harness.now += 4 * TRIAL_US
+    assert harness.sites.due(harness.now) == OTHER_SITE
+
+
+def test_a_server_started_since_the_loss_is_tried_at_once() -> None:
+    harness = SitesUnderTest()
+    harness.lose_site(OTHER_SITE)
+    harness.now += TRIAL_US // 4
+    lists = {n: {harness.server(n, i): 0 for i in range(4)} for n in range(3)}
+    harness.handle(Listed(lists))
+    assert harness.sites.due(harness.now) == -1
+    lists[OTHER_SITE][harness.server(OTHER_SITE, 2)] = harness.now
+    harness.handle(Listed(lists))
+    assert harness.sites.due(harness.now) == OTHER_SITE
+
+
+def test_the_return_is_paced_by_steps_that_answers_earn() -> None:
+    harness = SitesUnderTest()
+    harness.lose_site(OTHER_SITE)
+    harness.now += 2 * SHORT_US
+    harness.answer(OTHER_SITE)
+    harness.sites.usual([(OTHER_SITE, 100.0), (OWN_SITE, 200.0)])
+    shares = []
+    for _ in range(len(STEPS)):
+        assert harness.state(OTHER_SITE) is State.RETURNING
+        shares.append(harness.share(OTHER_SITE))
+        taken, step_began = 0, harness.now
+        while harness.now < step_began + STEP_US:
+            harness.now += 1_000
+            if not harness.sites.shut(harness.now, OTHER_SITE, repeatable=False):
+                harness.handle(Sent(OTHER_SITE))
+                taken += 1
+        assert taken == pytest.approx(shares[-1] * 100 * STEP_US / SECOND, rel=0.35)
+        for _ in range(STEP_ANSWERS):
+            harness.answer(OTHER_SITE)
+    assert shares == list(STEPS) and harness.state(OTHER_SITE) is State.WHOLE
+
+
+def test_what_would_be_refused_waits_for_no_step_but_for_the_first_answer() -> None:
+    # A hall's steps are shares of what is sent, and where little is, they kept it empty for two seconds.
+    harness = SitesUnderTest()
+    harness.lose_site(OTHER_SITE)
+    assert harness.sites.shut(harness.now, OTHER_SITE, repeatable=True, spare=True)
+    harness.now += 2 * SHORT_US
+    harness.answer(OTHER_SITE)
+    harness.handle(Sent(OTHER_SITE))
+    assert harness.sites.shut(harness.now, OTHER_SITE, repeatable=True)
+    assert not harness.sites.shut(harness.now, OTHER_SITE, repeatable=True, spare=True)
+
+
+def test_no_answers_no_step() -> None:
+    harness = SitesUnderTest()
+    harness.lose_site(OTHER_SITE)
+    harness.now += 2 * SHORT_US
+    harness.answer(OTHER_SITE)
+    for _ in range(10):
+        harness.pass_step(OTHER_SITE, answers=0)
+    assert harness.share(OTHER_SITE) == STEPS[0]
+
+
+def test_a_loss_of_a_moment_needs_no_steps() -> None:
+    harness = SitesUnderTest()
+    harness.lose_site(OTHER_SITE)
+    harness.now += SHORT_US // 2
+    harness.answer(OTHER_SITE)
+    assert harness.state(OTHER_SITE) is State.WHOLE
+
+
+def test_a_site_that_flaps_is_tried_ever_less_and_forgiven_when_it_holds() -> None:
+    harness, waits = SitesUnderTest(), []
+    harness.lose_site(OTHER_SITE)
+    for _ in range(6):
+        harness.now += 2 * TRIAL_MOST_US
+        harness.answer(OTHER_SITE)
+        assert harness.state(OTHER_SITE) is State.RETURNING
+        harness.fail_attempts(OTHER_SITE, DOUBT)
+        assert harness.state(OTHER_SITE) is State.LOST
+        lost = harness.now
+        while harness.sites.due(harness.now) != OTHER_SITE:
+            harness.now += 10_000
+        waits.append((harness.now - lost) // TRIAL_US)
+    assert waits == [2, 4, 8, 8, 8, 8]
+    harness.answer(OTHER_SITE)
+    for _ in STEPS:
+        harness.pass_step(OTHER_SITE)
+    assert harness.state(OTHER_SITE) is State.WHOLE and harness.sites.sites[OTHER_SITE].relapses == 6
+    harness.now += STEADY_US + 1
+    harness.handle(Pulse())
+    assert harness.sites.sites[OTHER_SITE].relapses == 0
+
+
+@pytest.mark.parametrize("outage_us", [SHORT_US // 2, 2 * SHORT_US])
+def test_one_that_is_lost_again_soon_after_it_was_whole_has_relapsed(outage_us: int) -> None:
+    harness, relapses = SitesUnderTest(), []
+    for holds_us in (STEADY_US // 2, STEADY_US // 2, STEADY_US + 1):
+        harness.lose_site(OTHER_SITE)
+        relapses.append(harness.sites.sites[OTHER_SITE].relapses)
+        lost = harness.now
+        assert harness.sites.due(lost + (TRIAL_US << relapses[-1]) - 10_000) == -1, "it waits twice as long"
+        harness.now = max(lost + outage_us, harness.now)
+        harness.answer(OTHER_SITE)
+        while harness.state(OTHER_SITE) is State.RETURNING:
+            harness.pass_step(OTHER_SITE)
+        assert harness.state(OTHER_SITE) is State.WHOLE
+        harness.now += holds_us
+        harness.handle(Pulse())
+    harness.lose_site(OTHER_SITE)
+    assert relapses == [0, 1, 2] and harness.sites.sites[OTHER_SITE].relapses == 0, "it held"
+
+
+def test_servers_that_end_in_turn_during_a_deploy_are_no_sign_of_a_loss() -> None:
+    # Each fails once its process has ended, is drained or another one in the next list; nobody answers.
+    harness = SitesUnderTest()
+    servers_there = {harness.server(OTHER_SITE, i): 0 for i in range(4)}
+    sites = {n: {harness.server(n, i): 0 for i in range(4)} for n in (OWN_SITE, THIRD_SITE)}
+    for i in range(4):
+        harness.fail_attempts(THIRD_SITE, 1)
+        harness.answer(OWN_SITE)
+        old = harness.server(OTHER_SITE, i)
+        harness.handle(Missed(OTHER_SITE, old))
+        if i % 2:
+            servers_there[old] = harness.now  # starts anew, under its name
+        else:
+            del servers_there[old]
+            servers_there[bytes([OTHER_SITE, 9, i])] = harness.now
+        harness.handle(Listed({**sites, OTHER_SITE: dict(servers_there)}))
+        if not i % 2:
+            harness.handle(Missed(OTHER_SITE, old))  # what was still under way there
+    assert not [
+        action for action in harness.actions if isinstance(action, Changed) and action.site == OTHER_SITE
+    ]
+    harness.handle(Missed(OTHER_SITE, harness.server(OTHER_SITE, 1)))
+    harness.handle(Missed(OTHER_SITE, harness.server(OTHER_SITE, 3)))
+    assert harness.state(OTHER_SITE) is State.DOUBTFUL
+    harness.handle(
+        Listed({**sites, OTHER_SITE: {**servers_there, harness.server(OTHER_SITE, 3): harness.now + 1}})
+    )
+    assert harness.state(OTHER_SITE) is State.WHOLE, "what it was doubted for is another process now"
+
+
+def test_two_sites_of_three_one_after_the_other() -> None:
+    harness = SitesUnderTest()
+    harness.lose_site(OTHER_SITE)
+    harness.fail_attempts(THIRD_SITE, 1)
+    harness.answer(OWN_SITE)
+    harness.fail_attempts(THIRD_SITE, LOSS)
+    assert (
+        harness.state(OTHER_SITE) is harness.state(THIRD_SITE) is State.LOST
+        and harness.state(OWN_SITE) is State.WHOLE
+    )
+    harness.now += 2 * SHORT_US
+    harness.answer(OTHER_SITE)  # one is lost while another returns
+    harness.fail_attempts(OWN_SITE, LOSS)
+    assert harness.state(OWN_SITE) is State.DOUBTFUL, "nobody else has answered since"
+    assert harness.state(OTHER_SITE) is State.RETURNING
+
+
+def test_an_operator_takes_a_site_out_and_puts_it_in_and_the_last_one_stays() -> None:
+    harness = SitesUnderTest()
+    assert harness.handle(TakeOut(OTHER_SITE)) == [
+        Changed(OTHER_SITE, State.WHOLE, State.OUT, "an operator's word")
+    ]
+    for bold in (False, True):
+        assert harness.sites.shut(harness.now, OTHER_SITE, repeatable=True, bold=bold)
+    harness.answer(OTHER_SITE)
+    harness.fail_attempts(OTHER_SITE, 4)
+    assert harness.state(OTHER_SITE) is State.OUT
+    harness.handle(TakeOut(THIRD_SITE))
+    assert harness.handle(TakeOut(OWN_SITE)) == [Declined(OWN_SITE, "it is the last one in service")]
+    assert isinstance(harness.handle(TakeOut(9))[0], Declined) and isinstance(
+        harness.handle(PutIn(9))[0], Declined
+    )
+    harness.handle(Listed({OWN_SITE: {b"a": 0}, THIRD_SITE: {b"b": 0}}))
+    harness.handle(Listed({OWN_SITE: {b"a": 0}, OTHER_SITE: {b"c": 0}, THIRD_SITE: {b"b": 0}}))
+    assert harness.state(OTHER_SITE) is State.OUT, "the word outlives a list"
+    harness.handle(PutIn(OTHER_SITE))
+    assert harness.state(OTHER_SITE) is State.RETURNING and harness.share(OTHER_SITE) == STEPS[0]
+
+
+def test_a_site_that_the_list_drops_is_forgotten_and_the_table_is_bounded() -> None:
+    harness = SitesUnderTest()
+    harness.lose_site(OTHER_SITE)
+    harness.handle(Listed({OWN_SITE: {b"a": 0}}))
+    views = [(view.site, view.state) for view in harness.sites.view()]
+    assert views == [(OWN_SITE, State.WHOLE), (OTHER_SITE, State.LOST)]
+    harness.now += 1
+    harness.handle(Listed({OWN_SITE: {b"a": 0}, OTHER_SITE: {b"new": harness.now}}))
+    assert harness.sites.due(harness.now) == OTHER_SITE, (
+        "a loss outlives the list, and new servers are tried at once"
+    )
+    harness.answer(OTHER_SITE)
+    harness.handle(Listed({n: {b"a": 0} for n in range(2 * MOST_SITES)}))
+    assert len(harness.sites.view()) == MOST_SITES
+    assert not harness.sites.shut(harness.now, 2 * MOST_SITES - 1, repeatable=False)
+
+
+def test_a_return_outlives_the_list_and_begins_anew() -> None:
+    harness = SitesUnderTest()
+    others = {n: {harness.server(n, i): 0 for i in range(4)} for n in (OWN_SITE, THIRD_SITE)}
+    harness.lose_site(OTHER_SITE)
+    harness.now += 2 * SHORT_US
+    harness.answer(OTHER_SITE)
+    harness.pass_step(OTHER_SITE)
+    assert harness.share(OTHER_SITE) == STEPS[1]
+    harness.handle(Listed(others))
+    assert harness.sites.spare(harness.now) == -1, "nobody is there"
+    for _ in range(3):
+        harness.pass_step(OTHER_SITE)  # what was still under way
+    harness.handle(
+        Listed({**others, OTHER_SITE: {harness.server(OTHER_SITE, i): harness.now for i in range(4)}})
+    )
+    assert harness.state(OTHER_SITE) is State.RETURNING and harness.share(OTHER_SITE) == STEPS[0]
+    harness.handle(Sent(OTHER_SITE))
+    assert harness.sites.shut(harness.now, OTHER_SITE, repeatable=True), "its room is that of the first step"
+    for _ in STEPS:
+        harness.pass_step(OTHER_SITE)
+    assert harness.state(OTHER_SITE) is State.WHOLE
+
+
+def report_silence(harness: SitesUnderTest, site: int = OTHER_SITE, for_us: int = 6 * SECOND) -> None:
+    """Others have had no answer of it for a while."""
+    harness.now += 1_000
+    harness.handle(Doubted(site, harness.now - 500, harness.now + for_us))
+
+
+def is_other_site_closed(harness: SitesUnderTest, repeatable: bool = True) -> bool:
+    return harness.sites.shut(harness.now, OTHER_SITE, repeatable)
+
+
+def test_a_site_that_does_not_answer_others_gets_trials_only_and_is_not_lost_for_that() -> None:
+    harness = SitesUnderTest()
+    harness.answer(OWN_SITE)
+    report_silence(harness)
+    assert harness.state(OTHER_SITE) is State.DOUBTFUL and harness.sites.away(OTHER_SITE)
+    assert (
+        not is_other_site_closed(harness)
+        and is_other_site_closed(harness, repeatable=False)
+        and harness.sites.due(harness.now) == OTHER_SITE
+    )
+    harness.handle(Sent(OTHER_SITE))
+    assert (
+        is_other_site_closed(harness)
+        and not harness.sites.shut(harness.now, OTHER_SITE, True, bold=True)
+        and harness.sites.due(harness.now) == -1
+    )
+    for _ in range(20):  # however often they say it
+        harness.now += SECOND // 4
+        report_silence(harness)
+        harness.handle(Pulse())
+    assert harness.state(OTHER_SITE) is State.DOUBTFUL
+    harness.fail_attempts(OTHER_SITE, 1)
+    harness.answer(OWN_SITE)
+    assert harness.state(OTHER_SITE) is State.DOUBTFUL, "one own failure is too little"
+    harness.fail_attempts(OTHER_SITE, 2)
+    assert harness.state(OTHER_SITE) is State.LOST, "it has been in doubt for long, and two have failed here"
+
+
+def test_the_first_answer_ends_what_others_say_and_they_are_not_heeded_again_for_the_same() -> None:
+    harness = SitesUnderTest()
+    report_silence(harness)
+    since = harness.now - 500
+    harness.answer(OTHER_SITE)
+    assert harness.state(OTHER_SITE) is State.WHOLE and not harness.sites.away(OTHER_SITE)
+    harness.handle(Doubted(OTHER_SITE, since, harness.now + 6 * SECOND))
+    assert harness.state(OTHER_SITE) is State.WHOLE
+    report_silence(harness)
+    harness.now += SHORT_US
+    harness.answer(OTHER_SITE)  # others have had its load for long
+    assert harness.state(OTHER_SITE) is State.RETURNING
+
+
+def test_what_others_say_of_a_site_ends_with_its_age() -> None:
+    harness = SitesUnderTest()
+    report_silence(harness, for_us=SECOND)
+    harness.now += SECOND
+    harness.handle(Pulse())
+    assert harness.state(OTHER_SITE) is State.WHOLE and not is_other_site_closed(harness, repeatable=False)
+    harness.fail_attempts(OTHER_SITE, DOUBT)  # ... but not what was met here
+    report_silence(harness, for_us=SECOND)
+    harness.now += SECOND
+    harness.handle(Pulse())
+    assert (
+        harness.state(OTHER_SITE) is State.DOUBTFUL
+        and not is_other_site_closed(harness)
+        and is_other_site_closed(harness, repeatable=False)
+    )
+
+
+def test_no_word_takes_the_last_whole_site_nor_a_small_one_nor_moves_one_that_is_lost_or_out() -> None:
+    harness = SitesUnderTest(4, 4, LOSS - 1)
+    report_silence(harness, THIRD_SITE)
+    assert harness.state(THIRD_SITE) is State.WHOLE
+    harness.handle(TakeOut(OWN_SITE))
+    report_silence(harness, OWN_SITE)
+    assert harness.state(OWN_SITE) is State.OUT
+    harness.handle(TakeOut(THIRD_SITE))
+    report_silence(harness)
+    assert harness.state(OTHER_SITE) is State.WHOLE
--- a/tests/sites/test_warmth.py
+++ b/tests/sites/test_warm_up.py
@@ -10,15 +10,15 @@
 SECOND = 1_000_000
 
 
-def back_at(lost: int, back: int) -> Warmth:
+def warmth_after_loss(lost_at_us: int, back_at_us: int) -> Warmth:
     warmth = Warmth(0.2, 20 * SECOND)
-    assert not warmth.hear(lost, [Changed(1, State.DOUBTFUL, State.LOST, "")])
-    assert warmth.hear(back, [Changed(1, State.LOST, State.RETURNING, "")])
+    assert not warmth.hear(lost_at_us, [Changed(1, State.DOUBTFUL, State.LOST, "")])
+    assert warmth.hear(back_at_us, [Changed(1, State.LOST, State.RETURNING, "")])
     return warmth
 
 
 def test_a_server_of_a_site_that_is_back_counts_as_just_started_until_the_list_could_have_said() -> None:
-    warmth = back_at(50 * SECOND, 60 * SECOND)
+    warmth = warmth_after_loss(50 * SECOND, 60 * SECOND)
     for born in (0, 10 * SECOND):  # long ago, and 50 s before
         assert warmth.part(60 * SECOND, 1, born) == 0.2
         assert warmth.part(62 * SECOND, 1, born) == pytest.approx(0.28)
@@ -27,7 +27,7 @@
 
 
 def test_a_start_that_the_list_tells_goes_before_the_guess() -> None:
-    warmth = back_at(50 * SECOND, 60 * SECOND)
+    warmth = warmth_after_loss(50 * SECOND, 60 * SECOND)
     assert warmth.part(60 * SECOND, 1, 55 * SECOND) == pytest.approx(0.4)
 
 
@@ -36,6 +36,6 @@
     warmth = Warmth(0.2, 20 * SECOND)
     assert not warmth.hear(60 * SECOND, [Changed(1, State.OUT, State.RETURNING, "")])
     assert warmth.part(60 * SECOND, 1, 0) == 1.0
-    warmth = back_at(50 * SECOND, 60 * SECOND)
+    warmth = warmth_after_loss(50 * SECOND, 60 * SECOND)
     assert not warmth.hear(90 * SECOND, [Changed(1, State.OUT, State.RETURNING, "")])
     assert warmth.part(90 * SECOND, 1, 0) == 1.0
