--- a/tests/engine/test_own_load.py
+++ b/tests/engine/test_own_load.py
@@ -1,4 +1,4 @@
-"""What the program does of its own load: the pulse of the loop, what it tells the module, what it refuses."""
+"""OwnLoad: the age of bytes read after a pause, notifications of overload, refusals of expired requests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RecordingPolicy:
-    """Stands in for the module, and keeps what it is told."""
+    """Stands in for the policy and records the events it receives."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -35,7 +35,7 @@
 
 
 class RecordingExecutor:
-    """Answers each attempt after `takes_us` of a clock that the test moves."""
+    """Records the attempts that are started; the tests end them."""
 
     def __init__(self) -> None:
         self.started: list[Any] = []
@@ -44,14 +44,14 @@
         self.started.append(attempt)
 
     def cancel(self, attempt: Any, unsent: bool = False) -> None:
-        raise AssertionError("nothing is called off here")
+        raise AssertionError("no attempt is cancelled in these tests")
 
     def probe(self, server: bytes) -> None:
-        raise AssertionError("nothing is probed here")
+        raise AssertionError("no server is probed in these tests")
 
 
 class FakeTransport:
-    """Its last bytes came so many milliseconds ago, by the kernel's word."""
+    """A transport whose socket reports that its last bytes came `received_ms_ago`; None: it reports nothing."""
 
     def __init__(self, received_ms_ago: int | None) -> None:
         self.received_ms_ago = received_ms_ago
@@ -62,7 +62,7 @@
 
     def getsockopt(self, level: int, option: int, length: int) -> bytes:
         if self.received_ms_ago is None:
-            raise OSError("not told")
+            raise OSError("no TCP_INFO")
         assert level == socket.IPPROTO_TCP
         return bytes(length - 4) + struct.pack("=I", self.received_ms_ago)
 
@@ -70,13 +70,13 @@
 @pytest.mark.parametrize(
     ("late_us", "received_ms_ago", "age_us"),
     [
-        (LATE_ENOUGH_US // 4, 300, 0),  # so little is not worth asking
-        (300_000, 120, 121_000),  # the kernel tells when they came
-        (300_000, 900, 310_000),  # and cannot be before the last beat
-        (300_000, None, 310_000),  # where it does not, they came at the beginning of the pause
+        (LATE_ENOUGH_US // 4, 300, 0),  # too little delay to ask the kernel
+        (300_000, 120, 121_000),  # the kernel reports when they came, rounded up by 1 ms
+        (300_000, 900, 310_000),  # but not before the last beat of the loop
+        (300_000, None, 310_000),  # without a report they count from the start of the pause
     ],
 )
-def test_what_is_read_after_a_pause_has_used_up_its_time(
+def test_the_age_of_bytes_read_after_a_pause_includes_the_pause(
     late_us: int, received_ms_ago: int | None, age_us: int
 ) -> None:
     async def main() -> None:
@@ -84,14 +84,14 @@
         policy = RecordingPolicy()
         engine = Engine(policy, Counters(), lambda: now, Wheel(lambda: now))
         own_load = OwnLoad(lambda: now, engine, Limits(1.0), 500_000, lambda: 1, lambda on: None, lambda: 0)
-        now += 10_000 + late_us  # the beat is due after 10 ms
+        now += 10_000 + late_us  # the first beat is due after 10 ms
         assert now - own_load.came_us(FakeTransport(received_ms_ago)) == age_us  # type: ignore[arg-type]
         own_load.stop()
 
     asyncio.run(main())
 
 
-def test_the_module_is_told_of_a_shortage_and_of_its_end() -> None:
+def test_the_policy_is_notified_when_an_overload_begins_and_when_it_ends() -> None:
     async def main() -> None:
         now, cpu = 1_000_000_000, 0
         policy, tighten_calls = RecordingPolicy(), list[bool]()
@@ -117,14 +117,14 @@
     asyncio.run(main())
 
 
-def test_a_request_whose_time_a_pause_has_used_up_is_refused_at_once_and_sent_nowhere() -> None:
-    # Sent, it would take a node's time from one that can still be answered.
+def test_a_request_whose_time_a_pause_has_used_up_is_refused_and_not_sent() -> None:
+    # A server would spend time on it that requests which can still be answered in time need.
     async def main() -> None:
         now = monotonic_us()
         settings = Settings(classes=[RequestClass("grid-read", 500_000, 2_500_000)])
         engine = Engine(Balancer(settings, 1), Counters(), lambda: now, Wheel(lambda: now))
         engine.executor = executor = RecordingExecutor()
-        engine.shortage(0.0)  # the first reading is always told
+        engine.shortage(0.0)  # the policy is always notified of the first reading
         engine.list_update(ListKind.FULL, [Member(SERVER_ID)])
         answers: list[Answer] = []
 
--- a/tests/overload/__init__.py
+++ b/tests/overload/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of roadlb/overload and of what the decision module does about its own shortage."""
+"""Tests of roadlb/overload and of how the decision module handles a lack of its process's own resources."""
--- a/tests/overload/test_overload_simulation.py
+++ b/tests/overload/test_overload_simulation.py
@@ -1,6 +1,6 @@
-"""What the controller holds when too much is asked for, each beside the same day without it.
+"""Guarantees of the overload controller in simulated time, each compared with the same run without it.
 
-Loads are multiples of what takes all CPU if everything is served; docs/design/overload.md has more figures.
+A load of 1 takes all CPU time if every request is served; docs/design/overload.md has more figures.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from roadlb.lab.model.shedding import ORDER, READ, SECOND, Costs, Sim, Site
 
 AIM_US = 500_000
-CHEAP_REFUSAL = 40 / 230  # what a refusal costs of a served request, with the costs of `Costs`
-# As benchmarks/data_path.py measures the compiled program: a refusal costs half of a served request.
+CHEAP_REFUSAL = 40 / 230  # CPU cost of a refusal relative to a served request, by the defaults of `Costs`
+# As benchmarks/data_path.py measures it in the compiled balancer: a refusal costs half of a served request.
 EXPENSIVE_REFUSAL_COSTS = Costs(read=14, refuse=28, take=32, answer=38, accept=60, gone=20, timer=2)
 IMMEDIATE_RETRIES = Site(manners=(1.0, 0.0, 0.0))
 SHORT_DEADLINES = Site(
@@ -42,7 +42,7 @@
 
 @cache
 def read_burst(controlled: bool, own_work: tuple[tuple[int, int, bool], ...] = ()) -> Sim:
-    """At a load of 0.5, eight times the reads from 2 s to 4 s."""
+    """A load of 0.5, with eight times the usual reads from 2 s to 4 s."""
     site = Site()
     rates = burst_rate(0.5 * site.capacity, 8)
     orders = 0.3 * 0.5 * site.capacity
@@ -67,9 +67,9 @@
 def assert_each_answered_once_in_time(sim: Sim) -> None:
     for one_try in sim.open.values():
         is_overdue = sim.now > one_try.until + 2 * SECOND // 10
-        assert one_try.ends <= 1 and (one_try.done or not is_overdue), "lost, or answered twice"
+        assert one_try.ends <= 1 and (one_try.done or not is_overdue), "unanswered, or answered twice"
         assert one_try.ends == 1 or one_try.gone or not is_overdue, (
-            "closed without an answer before its time was up"
+            "closed without an answer before its deadline"
         )
     assert sim.late_answers == 0
 
@@ -79,7 +79,7 @@
 
 
 def served_share_of_received(sim: Sim, cls: int, start: int, end: int) -> float:
-    """Of what reached the balancer at all, the share that was served."""
+    """The share that was served of the requests that reached the balancer at all."""
     received = {
         id(one_try.request): one_try.request
         for one_try in sim.open.values()
@@ -88,7 +88,7 @@
     return fmean(r.answered > 0 for r in received.values())
 
 
-def test_worth_served_holds_out_to_eight_times_the_load() -> None:
+def test_the_worth_served_holds_up_to_eight_times_the_load() -> None:
     worth = {load: steady_load(load, True).worth(1_500_000, 2_800_000) for load in (0.5, 1, 2, 4, 8)}
     for load in worth:
         assert worth[load] >= 0.85 * max(worth[lower] for lower in worth if lower <= load), (load, worth)
@@ -96,28 +96,29 @@
         assert_orders_ran_at_most_once(steady_load(load, True))
     best = steady_load(1, False).worth(1_500_000, 2_800_000)
     assert min(worth[2], worth[4], worth[8]) > best
-    assert worth[1] > 0.8 * best, "the price of acting before anything is late"
-    # The module sheds by what it has in hand, so that it holds alone too; the controller takes none of it.
+    assert worth[1] > 0.8 * best, "the cost of shedding before anything is late"
+    # The policy sheds by its requests in flight, so it holds up without the controller too; the controller
+    # must not make that worse.
     uncontrolled = steady_load(4, False).worth(1_500_000, 2_800_000)
     assert worth[4] > 0.9 * uncontrolled > 0.6 * best
 
 
 @pytest.mark.parametrize(
-    "own_work", [(), BRIEF_OWN_WORK], ids=["", "with a collection, a new list and a reload"]
+    "own_work", [(), BRIEF_OWN_WORK], ids=["", "with a garbage collection, a new server list and a reload"]
 )
-def test_orders_come_through_a_burst_of_reads(own_work: tuple[tuple[int, int, bool], ...]) -> None:
+def test_orders_are_served_during_a_burst_of_reads(own_work: tuple[tuple[int, int, bool], ...]) -> None:
     sim, uncontrolled = read_burst(True, own_work), read_burst(False, own_work)
     assert_each_answered_once_in_time(sim)
     assert_orders_ran_at_most_once(sim)
-    assert sim.share_served(ORDER, 1_900_000, 2 * SECOND) == 1, "in flight when it began"
-    # Past the first half second; clients find no free connection for the rest, which no refusal mends.
+    assert sim.share_served(ORDER, 1_900_000, 2 * SECOND) == 1, "orders in flight when the burst began"
+    # After the first half second.  The other orders find no free connection, which no refusal can change.
     assert served_share_of_received(sim, ORDER, 2_500_000, 4 * SECOND) > 0.97
     assert sim.share_served(ORDER, 2_500_000, 4 * SECOND) > 0.45
-    assert uncontrolled.share_served(ORDER, 2_500_000, 4 * SECOND) > 0.4, "the module alone"
-    assert sim.share_served(READ, 5_500_000, 6_500_000) > 0.99, "1.5 s after its end"
+    assert uncontrolled.share_served(ORDER, 2_500_000, 4 * SECOND) > 0.4, "the policy without the controller"
+    assert sim.share_served(READ, 5_500_000, 6_500_000) > 0.99, "1.5 s after the burst"
 
 
-def test_refusing_clients_that_ask_again_at_once_does_not_feed_itself() -> None:
+def test_immediate_retries_of_refused_requests_do_not_sustain_the_overload() -> None:
     def rate(t: int) -> float:
         return IMMEDIATE_RETRIES.capacity * (2 if SECOND <= t < 3 * SECOND else 0.7)
 
@@ -127,12 +128,12 @@
     assert_each_answered_once_in_time(sim)
     assert sim.read_tries <= 4 * len(sim.requests) and sim.tries <= 4 * len(sim.requests)
     assert sim.share_served(ORDER, 1_500_000, 3 * SECOND) > 0.65
-    assert uncontrolled.share_served(ORDER, 1_500_000, 3 * SECOND) > 0.55, "the module alone"
-    assert sim.share_served(READ, 4_500_000, 5_500_000) == 1, "served again 1.5 s after the end"
+    assert uncontrolled.share_served(ORDER, 1_500_000, 3 * SECOND) > 0.55, "the policy without the controller"
+    assert sim.share_served(READ, 4_500_000, 5_500_000) == 1, "served again 1.5 s after the overload"
     assert sim.share == 0
 
 
-def test_after_a_stop_by_the_host_live_requests_go_before_those_that_are_over() -> None:
+def test_after_a_stop_by_the_host_no_work_is_spent_on_requests_past_their_deadline() -> None:
     sims = {}
     for name, on, ages in (("controlled", True, "told"), ("uncontrolled", False, "none")):
         sims[name] = Sim(
@@ -146,7 +147,7 @@
     assert_each_answered_once_in_time(sim)
     assert uncontrolled.late_answers > 0
     asked = {n: [r for r in x.requests if 2 * SECOND <= r.asked < 2_300_000] for n, x in sims.items()}
-    # What is over when it is read runs for nobody, and those behind it wait.
+    # A request that is past its deadline when it is read runs for nobody, and delays those behind it.
     wasted = {n: sum(r.sends > 0 and not r.answered for r in asked[n]) for n in asked}
     served = {n: sum(r.answered > 0 for r in asked[n]) for n in asked}
     assert (
@@ -157,7 +158,7 @@
     assert sim.samples[-1].share == 0
 
 
-def test_a_blip_or_a_stop_at_a_sound_load_sheds_nothing() -> None:
+def test_a_short_pause_at_a_load_below_capacity_sheds_nothing() -> None:
     sim = Sim(
         Site(),
         lambda t: 0.6 * Site().capacity,
@@ -168,26 +169,27 @@
     assert all(x.share == 0 for x in sim.samples)
 
 
-def test_the_share_rises_once_stays_and_goes() -> None:
+def test_the_shed_share_rises_once_stays_steady_and_returns_to_zero() -> None:
     site = Site()
     sim = Sim(site, lambda t: site.capacity * (4 if SECOND <= t < 4 * SECOND else 0.5), make_controller(True))
     sim.play(7 * SECOND)
     rise_us = next(x.at for x in sim.samples if x.share > 0.5) - SECOND
-    assert rise_us < 1_750_000, "the module sheds by its work in hand meanwhile"
+    assert rise_us < 1_750_000, "the policy sheds by its requests in flight until then"
     plateau = [x.share for x in sim.samples if 3_400_000 <= x.at < 4 * SECOND]
     assert pstdev(plateau) < 0.02 and fmean(plateau) > 0.7
-    assert all(x.share == 0 for x in sim.samples if x.at > 6 * SECOND), "2 s after the step back"
+    assert all(x.share == 0 for x in sim.samples if x.at > 6 * SECOND), "2 s after the load fell back"
 
 
 @pytest.mark.parametrize("load", [1.0, 1.1, 1.5, 8.0])
-def test_the_share_does_not_swing_at_a_steady_load(load: float) -> None:
+def test_the_shed_share_does_not_oscillate_at_a_steady_load(load: float) -> None:
     shares = [x.share for x in steady_load(load, True).samples if x.at > 2 * SECOND]
     steps = [abs(b - a) for a, b in zip(shares, shares[1:], strict=False)]
     assert pstdev(shares) < 0.15 and fmean(steps) < 0.06
 
 
-def test_clients_that_send_rubbish_at_full_speed_shed_nothing() -> None:
-    # Five of them take all CPU that is left; to shed by CPU alone cost a third of the worth, and freed none.
+def test_clients_that_send_invalid_data_at_full_speed_cause_no_shedding() -> None:
+    # Five such clients take all CPU that is left.  Shedding by CPU use alone lost a third of the worth and
+    # freed no CPU.
     class Uncounted(Controller):
         def handle(self, now: int, event: Reading) -> list[Action]:
             return super().handle(now, replace(event, asked=-1))
@@ -199,16 +201,16 @@
         assert min_share <= sim.share_served(READ, 2 * SECOND, 3 * SECOND) <= max_share
 
 
-def test_a_limit_that_is_not_known_is_met_by_lateness() -> None:
-    site = Site(told_cores=1.0)  # the process believes in a whole core and gets 0.7
+def test_an_unknown_cpu_limit_is_detected_by_the_lateness_of_the_loop() -> None:
+    site = Site(told_cores=1.0)  # the process assumes a whole core and gets 0.7
     sim = Sim(site, lambda t: 4 * site.capacity, make_controller(True)).play(3_500_000)
     assert max(x.reading.cpu_share for x in sim.samples) < 0.9
     assert sim.worth(1_500_000, 2_800_000) > 0.9 * steady_load(4, False).worth(1_500_000, 2_800_000)
 
 
-def test_where_refusing_is_dear_nothing_is_shed_for_cpu_alone() -> None:
-    # Clients ask up to three times again, so that refusing costs more than it saves: shed by CPU, a full
-    # balancer serves 30% less, and goes on shedding 2 s after a burst.
+def test_nothing_is_shed_for_cpu_alone_where_a_refusal_costs_much() -> None:
+    # Clients retry up to three times, so a refusal costs more than it saves: with shedding by CPU use a fully
+    # loaded balancer serves 30% less, and still sheds 2 s after a burst.
     site = Site(costs=EXPENSIVE_REFUSAL_COSTS.times(8))
 
     def worth(load: float, refusal: float | None) -> float:
--- a/tests/overload/test_overload_units.py
+++ b/tests/overload/test_overload_units.py
@@ -1,4 +1,4 @@
-"""Pulse, meter, cost and controller, each on a list of readings made by hand."""
+"""Unit tests of the loop monitor, the meter, the request cost and the controller."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 START_US = 1_000_000
 
 
-def test_a_sound_loop_is_not_late_and_reads_what_just_came() -> None:
+def test_a_loop_on_time_has_no_delay_and_reads_bytes_that_have_just_arrived() -> None:
     pulse, now = Pulse(START_US), START_US
     for _ in range(10):
         now = pulse.beat(now + BEAT_US + 300)
@@ -27,8 +27,9 @@
     assert pulse.take(now).largest_us == 300
 
 
-def test_a_stop_shows_in_the_first_callback_and_in_the_turn_after_its_beat() -> None:
-    # With libuv's order a stop may end between two turns: the beat then comes before what was sent meanwhile.
+def test_a_stop_shows_in_the_first_callback_and_until_the_beat_after_the_late_one() -> None:
+    # In libuv's order timers run before reads, so after a stop between two turns of the loop the late beat
+    # precedes the reading of what was sent during the stop.
     pulse = Pulse(START_US)
     now = START_US + 300_000
     assert pulse.late_us(now) == 290_000 and pulse.came_us(now) == START_US
@@ -38,9 +39,9 @@
     assert pulse.came_us(now) == now
 
 
-def test_delays_are_kept_per_interval_and_one_that_lasts_is_not_counted_twice() -> None:
+def test_delays_are_reported_per_interval_and_one_that_spans_two_is_not_counted_twice() -> None:
     pulse = Pulse(START_US)
-    first = pulse.take(START_US + BEAT_US + 40_000)  # late by 40 ms, and going on
+    first = pulse.take(START_US + BEAT_US + 40_000)  # 40 ms late, and the delay continues
     assert (first.largest_us, first.mean_us) == (40_000, pytest.approx(40_000**2 / 2 / 50_000))
     pulse.beat(START_US + BEAT_US + 100_000)
     second = pulse.take(START_US + BEAT_US + 100_000)
@@ -49,7 +50,7 @@
     assert pulse.take(START_US + 2 * BEAT_US + 100_000).largest_us == 0
 
 
-def test_a_reading_holds_shares_of_the_limits_since_the_last_one() -> None:
+def test_a_reading_has_the_used_shares_of_the_limits_since_the_last_one() -> None:
     cpu_used, counts = iter([5_000, 40_000, 40_000]), iter([(10, 1), (110, 41), (110, 41)])
     meter = Meter(
         START_US,
@@ -71,7 +72,7 @@
     assert meter.read(START_US + 100_000).cpu_share == 0
 
 
-def test_no_limit_has_no_share_and_a_negative_one_is_named() -> None:
+def test_without_a_limit_the_share_is_zero_and_a_negative_limit_is_named() -> None:
     def meter(limits: Limits) -> Meter:
         return Meter(START_US, Pulse(START_US), limits, lambda: 1, lambda: 1, lambda: 1, lambda: (0, 0))
 
@@ -81,7 +82,7 @@
         meter(Limits(1.0, 64, -1))
 
 
-def test_readings_of_this_process() -> None:
+def test_cpu_time_and_memory_are_read_for_this_process() -> None:
     before = readings.cpu_used_us()
     while time.process_time_ns() // 1000 < before + 3_000:
         pass
@@ -90,7 +91,7 @@
     assert 4 << 20 < readings.memory_bytes() <= peak_bytes + (8 << 20)
 
 
-def test_memory_is_told_without_proc_too(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_memory_is_read_without_proc_too(monkeypatch: pytest.MonkeyPatch) -> None:
     def no_proc(*_: object) -> None:
         raise OSError
 
@@ -98,8 +99,8 @@
     assert readings.memory_bytes() > 4 << 20
 
 
-@pytest.mark.skipif(os.uname().sysname != "Linux", reason="only Linux tells")
-def test_the_kernel_tells_how_long_bytes_have_waited() -> None:
+@pytest.mark.skipif(os.uname().sysname != "Linux", reason="only Linux reports it")
+def test_the_kernel_reports_how_long_bytes_have_waited() -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
         client = socket.create_connection(server.getsockname())
         connection, _ = server.accept()
@@ -121,13 +122,13 @@
     return [action for i, reading in enumerate(events) for action in controller.handle(START_US + i, reading)]
 
 
-def test_the_first_reading_tells_the_module_that_nothing_is_short() -> None:
-    # Only from then on does it give up what no answer can reach in time.
+def test_the_first_reading_notifies_the_policy_that_nothing_is_short() -> None:
+    # Only after this notification does the policy refuse requests that no answer can reach in time.
     controller = Controller(500_000, 0.2)
     assert handle_all(controller, make_reading(), make_reading()) == [Shed(0.0)]
 
 
-def test_cpu_near_its_limit_sheds_before_anything_is_late_and_stops_where_refusing_costs_more() -> None:
+def test_cpu_near_its_limit_sheds_before_anything_is_late_but_not_below_the_kept_minimum() -> None:
     controller = Controller(500_000, 0.2)
     handle_all(controller, *[make_reading() for _ in range(20)])
     assert (
@@ -138,15 +139,15 @@
     assert controller.share == 1 - KEPT_BUSY
 
 
-def test_lateness_sheds_more_than_cpu_may_and_the_rest_comes_back_while_the_cpu_is_full() -> None:
+def test_a_late_loop_sheds_more_than_full_cpu_does_and_only_while_it_is_late() -> None:
     controller = Controller(500_000, 0.2)
     handle_all(controller, *[make_reading(1.0, 400_000) for _ in range(30)])
     assert controller.share == 1 - KEPT_LEAST
     handle_all(controller, *[make_reading(1.0) for _ in range(30)])
-    assert controller.share == 1 - KEPT_BUSY, "it starved orders for as long as clients kept asking"
+    assert controller.share == 1 - KEPT_BUSY, "orders must not starve as long as clients keep asking"
 
 
-def test_one_late_reading_is_a_stop_by_the_host_and_two_are_not() -> None:
+def test_one_late_reading_counts_as_a_stop_by_the_host_and_two_as_overload() -> None:
     controller = Controller(500_000, 0.2)
     handle_all(
         controller,
@@ -159,7 +160,7 @@
     assert controller.share > 0.3
 
 
-def test_it_comes_back_within_two_seconds() -> None:
+def test_shedding_ends_within_two_seconds_of_the_overload() -> None:
     controller = Controller(500_000, 0.2)
     handle_all(
         controller, *[make_reading(1.0, 400_000) for _ in range(30)], *[make_reading(0.3) for _ in range(20)]
@@ -170,7 +171,7 @@
 @pytest.mark.parametrize(
     "first_reading", [make_reading(0.3), Reading(100_000, 0.9, asked=60)], ids=["calm", "busy"]
 )
-def test_minutes_of_rubbish_do_not_make_requests_seem_dear(first_reading: Reading) -> None:
+def test_minutes_of_invalid_traffic_do_not_raise_the_learned_request_cost(first_reading: Reading) -> None:
     cost = RequestCost(200_000, 0.92, 0.2)
     for reading in [first_reading] * 15 + [make_reading(0.3)] * 60:
         cost.share(reading)
@@ -180,7 +181,7 @@
     assert cost.share(Reading(100_000, 1.0, asked=make_reading(1.0).asked)) > shares[-1]
 
 
-def test_short_of_memory_or_descriptors_is_told_once_and_ends_well_below() -> None:
+def test_a_lack_of_memory_or_descriptors_is_reported_once_and_ends_well_below_the_threshold() -> None:
     controller = Controller(500_000, 0.2)
     steps = [(0.8, 0.2), (0.9, 0.2), (0.95, 0.9), (0.8, 0.9), (0.8, 0.8), (0.7, 0.7), (0.8, 0.8)]
     actions = [handle_all(controller, make_reading(memory_share=m, descriptor_share=d)) for m, d in steps]
@@ -188,6 +189,6 @@
     assert not any(actions[i] for i in (2, 3, 4, 6))
 
 
-def test_an_aim_that_makes_no_sense() -> None:
+def test_a_latency_target_of_zero_is_rejected() -> None:
     with pytest.raises(ValueError, match="aim_us"):
         Controller(0, 0.2)
--- a/tests/overload/test_policy_events.py
+++ b/tests/overload/test_policy_events.py
@@ -1,4 +1,4 @@
-"""What the decision module does when told that its own process is short of means, and of requests to come."""
+"""How the decision module handles a lack of its own process's resources, and admission checks."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class BalancerUnderTest:
-    """A balancer with a clock, whose servers answer all that is sent at once or never."""
+    """A balancer with a simulated clock, whose servers answer each request at once or never."""
 
     def __init__(self, seed: int = 1, **settings: object) -> None:
         self.balancer = Balancer(Settings(classes=CLASSES, **settings), seed)  # type: ignore[arg-type]
@@ -60,7 +60,7 @@
         tenant: int = 0,
         latency_us: int | None = 20_000,
     ) -> bool:
-        """One request; was it sent on?  Its answer is there at once, unless it `takes_us` None."""
+        """Delivers a request; was it sent?  It is answered at once, or never if `latency_us` is None."""
         self.last_request += 1
         (action,) = self.handle(Arrival(self.last_request, cls, tenant, key, remaining_us, 0))
         if isinstance(action, Send) and latency_us is not None:
@@ -71,7 +71,7 @@
         return self.handle(Offer(cls, tenant, key, remaining_us, 0))
 
     def request_mix(self, count: int, gap_us: int = 1_000) -> dict[int, list[bool]]:
-        """Seven reads to three orders; what became of each."""
+        """Delivers seven reads to three orders, at random; by class, whether each was sent."""
         sent: dict[int, list[bool]] = {READ: [], ORDER: []}
         for _ in range(count):
             cls = READ if self.rng.random() < 0.7 else ORDER
@@ -97,7 +97,9 @@
     ("overload_share", "reads", "orders"),
     [(0.0, 1.0, 1.0), (0.35, 0.5, 1.0), (0.7, 0.0, 1.0), (0.85, 0.0, 0.5), (2.0, 0.0, 1 / 6)],
 )
-def test_a_shortage_refuses_its_share_reads_first(overload_share: float, reads: float, orders: float) -> None:
+def test_an_overload_refuses_its_share_of_the_requests_and_reads_first(
+    overload_share: float, reads: float, orders: float
+) -> None:
     harness = BalancerUnderTest()
     harness.request_mix(1_000)
     harness.handle(Shortage(overload_share))
@@ -107,7 +109,7 @@
 
 
 @pytest.mark.parametrize(("overload_share", "in_flight", "refused"), [(0.6, 0, 0.6), (0.6, 500, 0.95)])
-def test_shortage_and_fleet_pressure_do_not_add_up(
+def test_own_overload_and_shortage_of_servers_do_not_add_up(
     overload_share: float, in_flight: int, refused: float
 ) -> None:
     harness = BalancerUnderTest()
@@ -124,7 +126,7 @@
     assert count / 2_000 == pytest.approx(refused, abs=0.05)
 
 
-def test_a_shortage_ends_when_the_next_one_says_so() -> None:
+def test_an_overload_ends_when_an_event_says_so() -> None:
     harness = BalancerUnderTest()
     harness.handle(Shortage(0.9))
     harness.request_mix(1_000)
@@ -133,8 +135,8 @@
 
 
 @pytest.mark.parametrize("attribute", ["pressure", "own"])
-def test_clients_are_told_to_stay_away_for_longer_in_a_shortage_too(attribute: str) -> None:
-    # Those who come back soon ask again while it lasts, and to refuse them costs what it is short of.
+def test_refusals_ask_clients_to_wait_longer_in_a_greater_overload_too(attribute: str) -> None:
+    # Clients that retry soon do so while the overload lasts, and refusing them costs the CPU that is lacking.
     retry_after = {}
     for share_of in (0.1, 0.9):
         harness = BalancerUnderTest()
@@ -153,7 +155,7 @@
 
 
 @pytest.mark.parametrize(("cls", "overload_share"), [(READ, 0.35), (ORDER, 0.85)])
-def test_an_offer_is_answered_as_its_arrival_would_be(cls: int, overload_share: float) -> None:
+def test_an_admission_check_decides_as_the_arrival_would(cls: int, overload_share: float) -> None:
     harness, refused = BalancerUnderTest(), 0
     harness.request_mix(1_000)
     harness.handle(Shortage(overload_share))
@@ -165,8 +167,8 @@
     assert 10 < refused < 30
 
 
-def test_an_offer_and_its_arrival_count_once() -> None:
-    # Counted twice, orders would seem to be twice as many, and so many more of the reads would be served.
+def test_an_admission_check_and_its_arrival_count_once() -> None:
+    # With orders counted twice, their share of the demand would seem doubled, and too many reads be served.
     harness = BalancerUnderTest(tenants=TENANTS)
     harness.handle(Shortage(0.7))
     harness.request_mix(300)
@@ -188,8 +190,8 @@
                 assert harness.balancer.refusals.total == ranks + 1
 
 
-def test_offers_change_nothing_where_nothing_is_short() -> None:
-    # The simulator makes none: a day must play alike whether they are made or not.
+def test_admission_checks_change_nothing_without_an_overload() -> None:
+    # The simulator makes no such checks: a run must be the same with and without them.
     traces = []
     for offers in (False, True):
         harness = BalancerUnderTest(tenants=TENANTS)
@@ -205,8 +207,9 @@
 
 
 @pytest.mark.parametrize("event_kind", ["arrival", "offer"])
-def test_what_no_answer_can_reach_in_time_is_not_sent(event_kind: str) -> None:
-    # A node worked for nothing, was blamed for the time-out, and an order had run with nobody told.
+def test_a_request_that_no_answer_can_reach_in_time_is_not_sent(event_kind: str) -> None:
+    # Sent, it makes a server work in vain and counts as that server's timeout; an order may run with no
+    # answer to its client.
     harness = BalancerUnderTest()
     harness.handle(Shortage(0.0))
     for latency_us in (90_000, 30_000, 120_000, 60_000):
@@ -217,11 +220,12 @@
             if event_kind == "arrival"
             else not harness.offer(ORDER, remaining_us=remaining_us)
         )
-    assert harness.request(READ, remaining_us=14_000), "of reads no answer is known yet"
+    assert harness.request(READ, remaining_us=14_000), "no latency of reads is known yet"
 
 
-def test_a_rare_quick_answer_is_enough_to_send_what_has_little_time() -> None:
-    # A node that has the key answers in 3 ms where the mean is 90: a part of the mean would refuse that.
+def test_one_quick_answer_is_enough_to_send_a_request_with_little_time_left() -> None:
+    # A server with the key in its cache answers in 3 ms where the mean is 90 ms; a bound that is a fraction
+    # of the mean would refuse such a request.
     harness = BalancerUnderTest()
     harness.handle(Shortage(0.0))
     harness.request(READ, latency_us=3_000)
@@ -230,7 +234,7 @@
     assert harness.request(READ, remaining_us=3_000)
 
 
-def test_hopeless_requests_are_sent_as_ever_until_a_shortage_is_told() -> None:
+def test_requests_that_cannot_be_in_time_are_sent_until_the_first_overload_event() -> None:
     harness = BalancerUnderTest()
     harness.request(ORDER, latency_us=90_000)
     assert harness.request(ORDER, remaining_us=1)
--- a/tests/sites/conftest.py
+++ b/tests/sites/conftest.py
@@ -1,4 +1,4 @@
-"""One deployment for the scenarios of all files here: six processes take 2 to 3 s to start beside others."""
+"""One deployment for the scenarios of all files: six processes take 2 to 3 s to start on a busy machine."""
 
 from __future__ import annotations
 
--- a/tests/sites/shared_deployment.py
+++ b/tests/sites/shared_deployment.py
@@ -1,4 +1,4 @@
-"""Six balancers in three halls, each a process: one deployment for many scenarios, one after another."""
+"""Six balancer processes in three zones: one deployment on which many scenarios run one after another."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 ZONES = "hall-a", "hall-b", "hall-c"
 DEPLOYMENT = """
-title = "three halls"
+title = "three zones"
 [fleet]
 nodes = 12
 [balancers]
@@ -55,14 +55,14 @@
 [[refusal]]
 class = "grid-read"
 """
-COMMAND_EFFECT_US = 1_000_000  # nothing new is sent later than this after a word is answered
+COMMAND_EFFECT_US = 1_000_000  # after a command is answered no new request is sent against it later than this
 Scenario = Callable[[Rig], Coroutine[Any, Any, None]]
 
 
 def returns_without_steps(changes: Sequence[SiteChange]) -> list[SiteChange]:
-    """A site that was lost for over a second, and is whole with the next word on it.
+    """Changes of a site that was lost for over a second straight to whole, without the steps of a return.
 
-    Half a second more is for what a busy machine puts between a decision and its line in the log."""
+    Half a second is added for the delay between a decision and its log line on a busy machine."""
     since: dict[tuple[str, str], int] = {}
     skipped = []
     for change in changes:
@@ -74,15 +74,15 @@
 
 
 def balancers_outside(rig: Rig, zone: str) -> list[str]:
-    """The names of balancers of other halls."""
+    """Names of the balancers in other zones."""
     return [balancer.name for balancer in rig.stage.balancers.all if balancer.hall != zone]
 
 
 def loss_reports(rig: Rig, since: int, *sites: str) -> list[SiteChange]:
-    """Each time that a balancer has said since then that one of these sites is lost.
+    """Changes to lost of any of these sites that a balancer has logged since then.
 
-    Not counted where the rig itself, with all nodes, stood still for a tenth of the 2 s before: sites that
-    are silent then are as good as lost."""
+    A change is left out if the rig, which runs all servers, was held up for a tenth of the 2 s before it: the
+    sites were silent then, as lost ones are."""
     return [
         change
         for change in rig.changes(since)
@@ -93,10 +93,10 @@
 
 
 class SharedDeployment:
-    """The next scenario finds all whole again, or, where one has failed, a deployment of its own.
+    """Runs scenarios on one deployment; each waits until all sites are whole, and a failure starts a new one.
 
-    A site that is lost within 10 s of its return has relapsed, and is asked only after 2 s, then 4, then 8:
-    so scenarios that follow each other lose different halls."""
+    A site that is lost within 10 s of its return has relapsed, and its next trial comes only after 2 s, then
+    4, then 8: so consecutive scenarios lose different zones."""
 
     def __init__(
         self, deployment: str = DEPLOYMENT, seed: int = 1, variables: Mapping[str, str] | None = None
@@ -131,7 +131,7 @@
         assert not rig.world.faults
 
     def stop(self) -> None:
-        """Nobody is left behind."""
+        """Ends the deployment with all its processes."""
         runner, self._runner = self._runner, None
         if runner is None:
             return
--- a/tests/sites/test_lost_site.py
+++ b/tests/sites/test_lost_site.py
@@ -1,4 +1,4 @@
-"""A hall that is lost or cut off: told from few failures, not taken for too much work, and found again."""
+"""A site that is lost or cut off is detected by few failures, causes no load shedding, and is taken back."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from roadlb.sites.life import LOSS
 
 SECOND = 1_000_000
-SERVERS_PER_ZONE = 40  # servers in each of three halls
+SERVERS_PER_ZONE = 40  # in each of three zones
 READ, ORDER = 0, 1
 
 
 class BalancerSimulation:
-    """One balancer of hall 0 at ten requests a second, a quarter of them orders; some halls never answer."""
+    """One balancer in zone 0 at ten requests a second, a quarter of them orders; some zones never answer."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         servers: Sequence[int] = (SERVERS_PER_ZONE, SERVERS_PER_ZONE, SERVERS_PER_ZONE),
         slow_start: bool = False,
     ) -> None:
-        self.failure = status, duration_us  # an attempt at a dark hall ends
+        self.failure = status, duration_us  # how an attempt at an unreachable zone ends, and after how long
         classes = [
             RequestClass("read", 500_000, 2_500_000, 2.0, 0.5),
             RequestClass("order", 500_000, 2_500_000, 10.0, 0.5, effect=Effect.UNSAFE),
@@ -61,10 +61,10 @@
         )
         self.zone_of = {bytes([65 + zone, n]): zone for zone in range(3) for n in range(servers[zone])}
         self.now, self.event_count, self.unreachable_zones = SECOND, 0, set[int]()
-        self.zones_hanging_orders = set[int]()  # halls where orders alone are never answered
+        self.zones_hanging_orders = set[int]()  # where only orders are never answered
         self.pending: list[tuple[int, int, object]] = []
         self.attempts: dict[int, int] = {}
-        self.sends: list[tuple[int, int, int]] = []  # when, which class, to which hall
+        self.sends: list[tuple[int, int, int]] = []  # time, whether an order, zone
         self.refused, self.waiting = 0, 0
         self.handle(ListUpdate(ListKind.CACHED, [Member(s, zone=zone) for s, zone in self.zone_of.items()]))
 
@@ -90,7 +90,8 @@
                     self.now + duration_us,
                     Outcome(action.request, attempt, action.server, status, duration_us, not fails),
                 )
-            elif isinstance(action, Cancel) and not action.unsent:  # here an attempt begins at once
+            elif isinstance(action, Cancel) and not action.unsent:
+                # In this simulation every attempt is sent at once.
                 cancelled = next(
                     entry
                     for entry in self.pending
@@ -142,25 +143,25 @@
     ("status", "duration_us", "allowed_more"),
     [(Status.CONNECT_FAILED, 250_000, 12), (Status.TIMEOUT, 1_000_000, 24)],
 )
-def test_two_halls_out_of_reach_cost_a_few_requests_and_no_shedding(
+def test_two_unreachable_zones_cost_a_few_requests_and_cause_no_shedding(
     status: Status, duration_us: int, allowed_more: int
 ) -> None:
-    # Cut off, a balancer took the lateness of what it sent to the other halls for too much work: it shed up
-    # to 0.95 of what its own hall had room for, and heard nothing more that would have told it better.
+    # A balancer that was cut off took the late requests to the other zones for a lack of capacity: it shed up
+    # to 0.95 of what its own zone could serve, and got no further answers that would have corrected it.
     simulation = BalancerSimulation(status, duration_us)
     simulation.run(10)
     assert len(simulation.sent_since(0, unreachable=False)) == 100 and not simulation.refused
     simulation.unreachable_zones = {1, 2}
     since = simulation.now
     simulation.run(4)
-    refused_before = simulation.refused  # what waited there too long
+    refused_before = simulation.refused  # requests that had waited there too long
     simulation.run(6)
     assert 2 * LOSS <= len(simulation.sent_since(since)) <= 2 * (LOSS + allowed_more)
     assert simulation.refused - refused_before <= 3
     assert simulation.balancer.pressure < 0.3
 
 
-def test_a_shut_hall_is_tried_once_a_second_with_what_may_run_twice_and_taken_back_when_it_answers() -> None:
+def test_a_lost_site_gets_one_repeatable_request_a_second_and_is_taken_back_when_it_answers() -> None:
     simulation = BalancerSimulation()
     simulation.run(5)
     simulation.unreachable_zones = {1, 2}
@@ -174,10 +175,11 @@
     simulation.run(5)
     since = simulation.now
     simulation.run(10)
-    assert sum(zone != 0 for at, _, zone in simulation.sends if at >= since) > 20  # a third to a half again
+    # A third to a half of the requests go to them again.
+    assert sum(zone != 0 for at, _, zone in simulation.sends if at >= since) > 20
 
 
-def test_where_all_halls_are_shut_orders_alone_find_them_again() -> None:
+def test_where_all_sites_have_failed_orders_alone_find_them_again() -> None:
     simulation = BalancerSimulation()
     simulation.unreachable_zones = {0, 1, 2}
     simulation.run(6)
@@ -186,9 +188,10 @@
     assert len(simulation.sent_since(since, unreachable=False)) > 15
 
 
-def test_a_balancer_that_sheds_all_its_reads_still_asks_whether_a_lost_hall_is_back() -> None:
-    # Only what may run twice is a trial, and that goes first under pressure: three of four balancers sent a
-    # hall that was back nothing for 8 s, and refused 95% of what it had room for (seed 8 of the lost hall).
+def test_a_balancer_that_sheds_all_its_reads_still_makes_trials_of_a_lost_site() -> None:
+    # Only repeatable requests can be trials, and they are shed first in a shortage: three of four balancers
+    # sent nothing to a returned zone for 8 s, and refused 95% of what it could serve (seed 8 of the incident
+    # with a lost zone).
     simulation = BalancerSimulation()
     simulation.run(5)
     simulation.unreachable_zones = {1, 2}
@@ -201,7 +204,7 @@
     since, simulation.unreachable_zones = simulation.now, set()
     simulation.run(12)
     sent_back = [s for s in simulation.sends if s[0] >= since and s[2] != 0]
-    # What they have room for on their return is not refused for want of room elsewhere.
+    # What the returning zones have room for is not refused because the other zone has none.
     assert {s[2] for s in sent_back} == {1, 2} and sum(not is_order for _, is_order, _ in sent_back) >= 8
 
 
@@ -212,11 +215,11 @@
         (Status.OK, 2_000_000, {State.WHOLE}),
     ],
 )
-def test_a_hall_whose_reads_are_all_rescued_by_copies_is_found_lost_and_a_slow_one_is_not(
+def test_a_site_whose_reads_are_all_answered_by_hedges_is_found_lost_and_a_slow_one_is_not(
     status: Status, duration_us: int, expected_states: set[State]
 ) -> None:
-    # Called off as soon as its copy is answered, no attempt there ever failed; and where that alone counted
-    # as a failure, a slow hall would be shut.
+    # Each attempt there was cancelled when its hedge was answered, so none ever failed.  If such a
+    # cancellation counted as a failure, a slow zone would be lost.
     simulation = BalancerSimulation(
         status, duration_us, hedges=True, servers=(SERVERS_PER_ZONE, 12, SERVERS_PER_ZONE)
     )
@@ -230,8 +233,8 @@
     assert not simulation.refused
 
 
-def test_attempts_that_had_little_time_left_are_no_sign_of_a_loss() -> None:
-    # Beside busy loops, second attempts with 5 to 50 ms left before their deadline failed; halls were shut.
+def test_failed_attempts_that_had_little_time_left_do_not_lose_a_site() -> None:
+    # On a busy machine second attempts with 5 to 50 ms left to their deadline failed, and sites were lost.
     simulation = BalancerSimulation(Status.TIMEOUT, 20_000)
     simulation.run(10)
     simulation.unreachable_zones = {1, 2}
@@ -240,9 +243,9 @@
         assert {view.state for view in simulation.balancer.sites.view()} == {State.WHOLE}
 
 
-def test_an_order_that_finds_no_server_but_in_a_lost_hall_is_refused_at_once() -> None:
-    # Its nodes replaced by cold ones, whose budgets are soon used up, a balancer sent lost halls 44 orders in
-    # 10 s: what is sent there in vain may have run, and what is refused is asked again.
+def test_an_order_that_finds_servers_only_in_a_lost_zone_is_refused_at_once() -> None:
+    # With its own servers replaced by ones in slow start, whose budgets are soon used up, a balancer sent 44
+    # orders to lost zones in 10 s.  Such an order may have run; a refused one can safely be retried.
     simulation = BalancerSimulation(servers=(4, 12, 12), slow_start=True)
     simulation.run(5)
     simulation.unreachable_zones = {1, 2}
@@ -265,8 +268,8 @@
     assert simulation.refused > refused + 20 and not simulation.waiting
 
 
-def test_a_hall_that_answers_reads_and_lets_each_order_hang_gets_an_order_now_and_then() -> None:
-    # Any answer cleared the doubt: it got 20 of 100 orders, as many as before.
+def test_a_site_that_answers_reads_but_lets_orders_hang_gets_few_orders() -> None:
+    # Any answer, even to a read, ended the doubt: the site got 20 of 100 orders, as many as before.
     simulation = BalancerSimulation(Status.TIMEOUT, 2_500_000)
     simulation.run(10)
     simulation.zones_hanging_orders = {1}
--- a/tests/sites/test_orders_away.py
+++ b/tests/sites/test_orders_away.py
@@ -1,4 +1,4 @@
-"""A site that answers what is cheap and lets orders hang: they keep away, but for one at a time in turn."""
+"""A site that answers reads but lets orders hang gets no orders but one trial order at a time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class HangingOrders(SitesUnderTest):
-    """Orders at `THERE` fail; all else is answered."""
+    """Orders at `OTHER_SITE` fail; all other requests are answered."""
 
     def __init__(
         self, *counts: int, orders_elsewhere: bool = True, reads: bool = True, servers: int = LOSS
@@ -32,20 +32,21 @@
         return self.sites.shut(self.now, OTHER_SITE, repeatable=False, bold=has_no_alternative)
 
     def fail_trial(self) -> int:
-        """Waits for the next trial, which fails after two seconds; how long it waited."""
+        """Waits for the next trial, fails it after two seconds, and returns how long it waited, in us."""
         began = self.now
         while self.keeps_orders_away():
             self.now += 10_000
         self.handle(Sent(OTHER_SITE, self.server(OTHER_SITE, 0), True))
-        assert self.keeps_orders_away(), "one at a time"
+        assert self.keeps_orders_away(), "only one trial order at a time"
         waited, self.now = self.now - began, self.now + 2 * SECOND
-        self.handle(Missed(OTHER_SITE, self.server(OTHER_SITE, 1), True))  # sent before: no trial
+        # An order sent before the trial fails: that does not count as the trial's outcome.
+        self.handle(Missed(OTHER_SITE, self.server(OTHER_SITE, 1), True))
         self.answer(OTHER_SITE)
         self.fail_attempts(OTHER_SITE, 1, order=True)
         return waited
 
 
-def test_answers_to_reads_bring_no_orders_back_and_trials_grow_rare() -> None:
+def test_answers_to_reads_do_not_bring_orders_back_and_trials_become_rarer() -> None:
     harness = HangingOrders()
     assert harness.state(OTHER_SITE) is State.WHOLE and not harness.sites.shut(
         harness.now, OTHER_SITE, repeatable=True
@@ -53,7 +54,7 @@
     assert harness.keeps_orders_away() and not harness.sites.shut(harness.now, THIRD_SITE, False)
     assert [round(harness.fail_trial() / TRIAL_US) for _ in range(6)] == [1, 2, 4, 8, 8, 8]
     assert harness.keeps_orders_away(has_no_alternative=True), (
-        "nowhere else to go, and better refused than lost"
+        "with no other site to go to, an order must be refused rather than lost"
     )
     harness.answer(OTHER_SITE, order=True)
     assert not harness.keeps_orders_away()
@@ -65,12 +66,12 @@
 
 
 @pytest.mark.parametrize("case", [{"servers": DOUBT}, {"orders_elsewhere": False}, {"reads": False}])
-def test_too_little_or_what_holds_for_all_keeps_no_orders_away(case: dict[str, Any]) -> None:
+def test_little_evidence_or_failures_at_all_sites_keep_no_orders_away(case: dict[str, Any]) -> None:
     harness = HangingOrders(**case)
     assert not any(isinstance(action, OrdersKept) for action in harness.actions)
 
 
-def test_a_small_site_and_one_that_answered_an_order_just_now_are_not_judged() -> None:
+def test_orders_keep_going_to_a_small_site_and_to_one_that_has_just_answered_an_order() -> None:
     assert not HangingOrders(4, LOSS - 1, 4).keeps_orders_away()
     harness = SitesUnderTest()
     for silence_us, kept_away in ((QUIET_US // 2, False), (QUIET_US, True)):
@@ -84,12 +85,12 @@
         assert harness.sites.sites[OTHER_SITE].orders_away is kept_away
 
 
-def test_what_leaves_the_list_or_starts_anew_says_nothing_of_its_site() -> None:
+def test_failures_of_servers_that_left_the_list_or_restarted_do_not_count() -> None:
     harness = HangingOrders()
     others = {n: {harness.server(n, i): 0 for i in range(4)} for n in (OWN_SITE, THIRD_SITE)}
     servers_there = {harness.server(OTHER_SITE, i): 0 for i in range(1, 4)}
     harness.handle(Listed({**others, OTHER_SITE: servers_there}))
-    assert harness.keeps_orders_away(), "two of the three are as they were"
+    assert harness.keeps_orders_away(), "two of the three failed servers are unchanged"
     harness.handle(
         Listed({**others, OTHER_SITE: {**servers_there, harness.server(OTHER_SITE, 1): harness.now}})
     )
@@ -100,7 +101,7 @@
     assert not harness.keeps_orders_away()
 
 
-def test_orders_kept_away_stay_so_through_a_loss_and_what_failed_in_a_loss_does_not_count() -> None:
+def test_orders_keep_away_after_a_loss_too_but_failures_before_it_alone_do_not_count() -> None:
     for kept_away in (True, False):
         harness = HangingOrders(servers=LOSS if kept_away else DOUBT)
         harness.now += QUIET_US
@@ -120,7 +121,7 @@
     assert not harness.keeps_orders_away()
 
 
-def test_a_trial_that_nobody_hears_of_is_not_waited_for_for_ever() -> None:
+def test_a_trial_without_any_outcome_delays_the_next_one_for_a_bounded_time() -> None:
     harness = HangingOrders()
     harness.now += TRIAL_US
     harness.handle(Sent(OTHER_SITE, harness.server(OTHER_SITE, 3), True))
--- a/tests/sites/test_plan.py
+++ b/tests/sites/test_plan.py
@@ -1,4 +1,4 @@
-"""The plan of refusal in the configuration, what the loss of a site is foretold to do, and the commands."""
+"""The refusal plan in the configuration, the forecast of a site's loss, and the `site` commands."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 ZONE_LOSS = Path(__file__).parents[2] / "examples" / "incidents" / "hall-lost.toml"
 SITES = [SiteSize(name, 4, 10.0, 0.25, 20.0) for name in "abc"]
 READS = Demand("read", "one", False, 1_000, 0.01, 2.0, 0)  # 10 cores of work
-ORDERS = Demand("order", "one", False, 100, 0.1, 10.0, 1)  # and 10
+ORDERS = Demand("order", "one", False, 100, 0.1, 10.0, 1)  # and 10 more
 
 
 def read_plan_lines(*lines: dict[str, Any], **more: Any) -> tuple[PlanLine, ...]:
@@ -46,7 +46,9 @@
         ({"worth": 3}, r"refusal\.plan\.0\.worth: is not known; there are class, customer, share, try, key"),
     ],
 )
-def test_a_fault_in_a_plan_names_its_key_and_the_remedy(line: dict[str, Any], text: str) -> None:
+def test_an_invalid_plan_is_rejected_with_the_key_and_the_allowed_values(
+    line: dict[str, Any], text: str
+) -> None:
     with pytest.raises(ConfigError, match=text):
         read_plan_lines(line)
     with pytest.raises(ConfigError, match="refusal.order: is not known"):
@@ -55,9 +57,9 @@
         read_plan(Pairs.from_json({"refusal": {"plan": ["x", "y"]}}), [], [])
 
 
-def test_a_loss_is_arithmetic() -> None:
+def test_the_forecast_of_a_loss_is_computed_from_work_and_capacity() -> None:
     one_lost = loss(SITES, [READS, ORDERS], ["a"], told_s=2.0)
-    # 20 cores of work on 20 * 0.92: (18.4 / 20) ** 10 = 0.434, and 18.4 / 1.434 ** 0.1 = 17.75 are carried.
+    # 20 cores of work on 20 * 0.92: (18.4 / 20) ** 10 = 0.434, and 18.4 / 1.434 ** 0.1 = 17.75 are served.
     assert one_lost.load == pytest.approx({"b": 20 / 18.4, "c": 20 / 18.4})
     assert one_lost.kept == pytest.approx({ORDERS: 1.0, READS: 0.775}, abs=1e-3)
     assert one_lost.worth == pytest.approx(2_550 / 3_000, abs=1e-3)
@@ -75,8 +77,8 @@
         loss(SITES, [READS], ["x"], 2.0)
 
 
-def test_worth_never_falls_as_demand_rises_where_what_is_worth_most_for_its_work_goes_last() -> None:
-    # Reads are worth twice as much for their work: a plan that keeps orders instead pays for it.
+def test_worth_never_falls_with_demand_if_the_most_worth_per_work_is_refused_last() -> None:
+    # Reads are worth twice as much for their work; a plan that keeps orders instead serves less worth.
     times = [0.25 * n for n in range(1, 17)]
     reads_last = [Demand("read", "one", False, 1_000, 0.01, 2.0, 2), ORDERS]
     served = curve(SITES, reads_last, ["a"], times)
@@ -85,17 +87,17 @@
     assert curve(SITES, [READS, ORDERS], ["a"], times)[-1] == pytest.approx(20 * USABLE / 0.1 * 10.0)
 
 
-def test_caches_hold_what_is_asked_for_often_as_long_as_there_is_room() -> None:
+def test_caches_hold_the_most_requested_keys_up_to_their_capacity() -> None:
     even = [0.01] * 100
     assert hit_share(even, 1_000, 100 * HOMES, 1e9) == pytest.approx(1.0, abs=1e-3)
-    # Half the room holds half of the keys; what is asked for 0.01 times a second is mostly forgotten in 4 s.
+    # Half the capacity holds half of the keys; a key requested 0.01 times a second has mostly expired in 4 s.
     assert hit_share(even, 1_000, 50 * HOMES, 1e9) == pytest.approx(0.5, abs=1e-3)
     assert hit_share(even, HOMES, 100 * HOMES, 4.0) == pytest.approx(1 - exp(-0.04), abs=1e-3)
     skewed = [0.9] + [0.1 / 99] * 99
     assert hit_share(skewed, 1_000, 10 * HOMES, 1e9) > 0.9 and hit_share([], 10, 5, 5) == 0
 
 
-def test_what_is_refused_is_summed_up_in_worth() -> None:
+def test_the_refused_worth_is_summed_up_by_class_and_by_tenant() -> None:
     one_lost = loss(SITES, [READS, ORDERS], ["a"], told_s=2.0)
     assert one_lost.refused_worth(lambda demand: demand.name) == {
         "order": (1_000.0, 0.0),
@@ -104,7 +106,7 @@
     assert one_lost.refused_worth(lambda demand: demand.customer)["one"][1] == pytest.approx(450.0, abs=1)
 
 
-def test_the_command_draws_and_tells_whether_a_loss_is_borne(tmp_path: Path) -> None:
+def test_the_plan_command_plots_the_forecast_and_prints_whether_a_loss_is_borne(tmp_path: Path) -> None:
     picture = tmp_path / "plan.svg"
     result = CliRunner().invoke(roadlb, ["site", "plan", str(ZONE_LOSS), "--plot", str(picture)])
     assert result.exit_code == 0 and "borne" in result.output and "worth a second: grid-read" in result.output
@@ -120,7 +122,7 @@
     )
 
 
-def test_the_command_tells_what_a_described_deployment_bears() -> None:
+def test_the_plan_command_prints_which_losses_a_deployment_bears() -> None:
     result = CliRunner().invoke(roadlb, ["site", "plan", str(ZONE_LOSS), "--saved", "0.2"])
     assert result.exit_code == 0 and "hall-a and hall-b" in result.output and "of grid-read" in result.output
     data = json.loads(CliRunner().invoke(roadlb, ["site", "plan", str(ZONE_LOSS), "--json"]).output)
@@ -128,7 +130,7 @@
     assert all(0 <= forecast["worth"] <= 1 for forecast in data["losses"])
 
 
-def test_words_go_to_each_door_and_a_no_is_told() -> None:
+def test_site_commands_go_to_each_admin_listener_and_report_rejections() -> None:
     paths = []
 
     class Balancer(BaseHTTPRequestHandler):
--- a/tests/sites/test_processes.py
+++ b/tests/sites/test_processes.py
@@ -1,7 +1,7 @@
-"""The loss of a site before several real processes: six balancers in three halls, and faults between them.
+"""The loss of a site with real processes: six balancers in three zones, and faults between them.
 
-Each test waits for what must come to pass, however long it takes, and judges by what nodes and clients
-recorded.
+Each test waits until the expected state is reached, however long that takes, and judges by what servers and
+clients recorded.
 """
 
 from __future__ import annotations
@@ -25,37 +25,39 @@
 from roadlb.lab.wire import ClientGot, ClientSent
 from roadlb.sites.life import STEADY_US, TRIAL_US
 
-IN_FLIGHT_US = 100_000  # what had left the cut's other side before it fell
-COMPLETION_US = 500_000  # what was sent before a fault ended has ended as well
+IN_FLIGHT_US = 100_000  # for messages sent before the cut that arrive after it
+COMPLETION_US = 500_000  # requests sent before the end of a fault have ended this much later
 
 
 def test_a_hall_slow_by_overload_is_not_lost(deployment: SharedDeployment) -> None:
-    # First of all, while all nodes are warm: in a hall that was back for 2 s or for 35 s, of which balancers
-    # hear less, none answered for a second, and one or two of six said lost in each of two runs.
+    # Runs first, while no server is in slow start.  A zone that had returned 2 s or 35 s before gets fewer
+    # requests: none was answered for a second, and in each of two runs one or two of the six balancers
+    # declared it lost.
     async def scenario(rig: Rig) -> None:
         started = rig.now
         fleet = rig.stage.fleet
         stop_slowness = [
             fleet.slow(server, 6.0) for server in fleet.there.values() if server.hall == "hall-c"
         ]
-        await rig.until("a while passes", lambda: len(rig.got(started, "hall-a")) > 500)
+        await rig.until("more requests have come", lambda: len(rig.got(started, "hall-a")) > 500)
         for stop in stop_slowness:
             stop()
         assert not loss_reports(rig, started, *ZONES)
-        assert rig.got(started + COMMAND_EFFECT_US, "hall-c"), "it has load all the while"
+        assert rig.got(started + COMMAND_EFFECT_US, "hall-c"), "the zone must have load all the time"
 
     deployment.run_scenario(scenario)
 
 
-def test_a_site_that_comes_and_goes_every_two_seconds_is_left_alone(deployment: SharedDeployment) -> None:
-    # Whether it is lost again as it returns or soon after, it has to wait twice as long each time.  While the
-    # others are warm: where all of them are cold and full, a request that has nowhere else to go asks sooner.
+def test_trials_of_a_site_that_fails_every_two_seconds_become_rarer(deployment: SharedDeployment) -> None:
+    # Whether it is lost again during its return or soon after, the wait for the next trial doubles each time.
+    # The other zones must not be in slow start: where they are and all are full, a request that has nowhere
+    # else to go tries the site sooner.
     async def scenario(rig: Rig) -> None:
         started, faults = rig.now, list[tuple[int, int]]()
         names = balancers_outside(rig, "hall-c")
 
         def relapses() -> list[tuple[SiteChange, SiteChange]]:
-            """Lost again soon after it was taken back, in the midst of a fault; and taken back again."""
+            """Losses soon after a return, during a fault, each with the return that follows."""
             found = []
             for name in names:
                 losses_and_returns = [
@@ -88,17 +90,22 @@
                 )
                 reopen()
                 faults.append((since, rig.now))
-                # Who relapses asks late: shut before that, it would hear nothing for yet another turn.
+                # A balancer whose site has relapsed tries it late; if the next fault came before that trial,
+                # it would get no answer for another round.
                 affected = [name for name in names if rig.say(name, "hall-c", "lost")]
-                await rig.until("taken back by those who lost it", partial(taken_back, affected))
+                await rig.until("taken back by the balancers that had lost it", partial(taken_back, affected))
         for lost, again in relapses():
-            assert again.at - lost.at >= 2 * TRIAL_US, "a trial at the usual time after a relapse"
-        await rig.until("taken back when it holds", lambda: rig.all_say("hall-c", "whole"))
+            assert again.at - lost.at >= 2 * TRIAL_US, (
+                "a trial after the usual interval, although the site has relapsed"
+            )
+        await rig.until("taken back by all once it is stable", lambda: rig.all_say("hall-c", "whole"))
 
     deployment.run_scenario(scenario)
 
 
-def test_a_site_lost_whole_is_found_by_all_and_taken_back_by_all(deployment: SharedDeployment) -> None:
+def test_the_loss_of_a_whole_site_is_detected_and_its_return_accepted_by_all(
+    deployment: SharedDeployment,
+) -> None:
     async def scenario(rig: Rig) -> None:
         started, restore = rig.now, rig.lose("hall-b")
         detected = await rig.until("hall-b lost to all", lambda: rig.all_say("hall-b", "lost", "absent"))
@@ -108,7 +115,7 @@
         await rig.dealt()
         restored = rig.now
         await rig.until(
-            "hall-b is whole again, to its own balancers too",
+            "hall-b is whole again, for its own balancers too",
             lambda: len(rig.stage.balancers.running) == 6 and rig.all_say("hall-b", "whole"),
         )
         await rig.until("it has load", lambda: len(rig.got(restored, "hall-b")) > 20)
@@ -118,21 +125,21 @@
 
 
 @pytest.mark.parametrize("fault, zone", [("mute", "hall-a"), ("pause_nodes", "hall-c")])
-def test_a_site_that_hears_and_does_not_answer_gets_trials_alone_and_no_order(
+def test_a_site_that_receives_requests_but_does_not_answer_gets_only_trials_and_no_order(
     deployment: SharedDeployment, fault: str, zone: str
 ) -> None:
-    # Orders there have run, as far as anybody knows: they fail, and are not repeated.
+    # Orders sent there may have run, so they fail and are not retried.
     async def scenario(rig: Rig) -> None:
         heal = getattr(rig, fault)(zone)
 
         def balancers_that_know() -> set[str]:
             return {name for name in balancers_outside(rig, zone) if rig.say(name, zone, "lost")}
 
-        # One whose reads are all rescued by second copies, or that sends no order there, need not know.
+        # A balancer whose reads there are all answered by hedges, or that sends it no order, need not know.
         await rig.until(f"{zone} lost to most", lambda: len(balancers_that_know()) >= 3)
         detected, knowing = rig.now, balancers_that_know()
-        await rig.until("a while passes", lambda: len(rig.got(detected, "hall-b")) > 150)
-        assert knowing <= balancers_that_know(), "nothing has answered"
+        await rig.until("more requests have come", lambda: len(rig.got(detected, "hall-b")) > 150)
+        assert knowing <= balancers_that_know(), "lost until it answers"
         received = [
             event
             for event in rig.got(rig.after(detected, COMMAND_EFFECT_US), zone)
@@ -140,23 +147,23 @@
         ]
         assert not [event for event in received if event.method != "GET"], "an order went to a lost site"
         elapsed_s = (rig.now - detected) / 1e6
-        assert len(received) <= len(knowing) * (elapsed_s + 1), "more than trials"
+        assert len(received) <= len(knowing) * (elapsed_s + 1), "more requests than trials"
         heal()
         await rig.until(f"{zone} whole", lambda: rig.all_say(zone, "whole"))
 
     deployment.run_scenario(scenario)
 
 
-def test_a_hall_that_is_cut_off_goes_on_with_its_own_and_is_joined_again(
+def test_a_zone_that_is_cut_off_serves_its_own_clients_and_is_taken_back(
     deployment: SharedDeployment,
 ) -> None:
     async def scenario(rig: Rig) -> None:
         heal = rig.cut("hall-b")
         inside = [balancer.name for balancer in rig.stage.balancers.all if balancer.hall == "hall-b"]
         outside = [balancer.name for balancer in rig.stage.balancers.all if balancer.hall != "hall-b"]
-        # One that sends it nothing need not know.
+        # A balancer that sends it nothing need not know.
         await rig.until(
-            "outside, hall-b is lost; inside, the others are",
+            "hall-b lost to balancers outside, the other zones to those inside",
             lambda: (
                 sum(rig.say(name, "hall-b", "lost") for name in outside) >= 2
                 and all(rig.say(name, zone, "lost") for name in inside for zone in ("hall-a", "hall-c"))
@@ -164,16 +171,16 @@
         )
         cut = rig.now
         await rig.until(
-            "its own nodes serve its own clients",
+            "its own servers answer its own clients",
             lambda: any(event.balancer in inside for event in rig.got(cut, "hall-b")),
         )
         heal()
-        await rig.until("whole, all of it", lambda: all(rig.all_say(zone, "whole") for zone in ZONES))
+        await rig.until("all sites whole", lambda: all(rig.all_say(zone, "whole") for zone in ZONES))
 
     deployment.run_scenario(scenario)
 
 
-def test_one_that_slept_through_the_loss_and_one_that_never_knew_the_site_find_out_alone(
+def test_a_balancer_paused_during_the_loss_and_one_started_after_it_detect_it_themselves(
     deployment: SharedDeployment,
 ) -> None:
     async def scenario(rig: Rig) -> None:
@@ -184,11 +191,14 @@
         rig.stage.balancers.kill(killed)
         awake.remove("balancer-4")
         await rig.until(
-            "those awake know", lambda: all(rig.say(name, "hall-a", "lost", "absent") for name in awake)
+            "the running balancers know",
+            lambda: all(rig.say(name, "hall-a", "lost", "absent") for name in awake),
         )
         resume()
         rig.stage.balancers.start_again(killed)
-        await rig.until("all know", lambda: len(rig.sites) == 4 and rig.all_say("hall-a", "lost", "absent"))
+        await rig.until(
+            "all balancers know", lambda: len(rig.sites) == 4 and rig.all_say("hall-a", "lost", "absent")
+        )
         await restore()
         await rig.dealt()
         await rig.until("whole", lambda: len(rig.sites) == 6 and rig.all_say("hall-a", "whole"))
@@ -196,7 +206,7 @@
     deployment.run_scenario(scenario)
 
 
-def test_two_sites_of_three_one_while_the_other_returns(deployment: SharedDeployment) -> None:
+def test_a_site_is_lost_while_another_of_the_three_returns(deployment: SharedDeployment) -> None:
     async def scenario(rig: Rig) -> None:
         restores: list[Callable[[], Awaitable[None]]] = [rig.lose("hall-c")]
         await rig.until("hall-c lost", lambda: rig.all_say("hall-c", "lost", "absent"))
@@ -209,17 +219,17 @@
         await restores[1]()
         await rig.dealt()
         await rig.until(
-            "whole, all of it",
+            "all sites whole",
             lambda: len(rig.sites) == 6 and all(rig.all_say(zone, "whole") for zone in ZONES),
         )
 
     deployment.run_scenario(scenario)
 
 
-def test_clients_cut_off_from_the_halls_that_serve_them_hear_nothing_until_it_is_healed(
+def test_clients_cut_off_from_the_zones_that_serve_them_get_no_answer_until_it_ends(
     deployment: SharedDeployment,
 ) -> None:
-    # Their own hall's balancers are down, so that the front sends them to the others'.
+    # The balancers of their own zone are down, so the front end sends them to those of other zones.
     async def scenario(rig: Rig) -> None:
         down = [balancer for balancer in rig.stage.balancers.all if balancer.hall == "hall-c"]
         for balancer in down:
@@ -237,10 +247,10 @@
             )
 
         killed = rig.now
-        await rig.until("other halls serve them", lambda: served(killed) > 20)
+        await rig.until("other zones serve them", lambda: served(killed) > 20)
         heal = rig.cut("hall-c")
         cut = rig.now
-        await rig.until("a while passes", lambda: len(rig.got(cut, "hall-a")) > 150)
+        await rig.until("more requests have come", lambda: len(rig.got(cut, "hall-a")) > 150)
         assert served(rig.after(cut, IN_FLIGHT_US)) == 0
         heal()
         healed = rig.now
@@ -251,7 +261,7 @@
     deployment.run_scenario(scenario)
 
 
-def test_an_operator_takes_a_site_out_and_puts_it_in(deployment: SharedDeployment) -> None:
+def test_an_operator_takes_a_site_out_of_service_and_returns_it(deployment: SharedDeployment) -> None:
     async def scenario(rig: Rig) -> None:
         names = [balancer.name for balancer in rig.stage.balancers.running]
 
@@ -262,12 +272,14 @@
 
         assert [status for status, _ in await command("hall-b", "out")] == [200] * 6
         commanded = rig.now
-        await rig.until("a while passes", lambda: len(rig.got(commanded, "hall-a")) > 150)
+        await rig.until("more requests have come", lambda: len(rig.got(commanded, "hall-a")) > 150)
         assert not rig.got(rig.after(commanded, COMMAND_EFFECT_US), "hall-b"), (
-            "something new came to a site out of service"
+            "a new request was sent to a site out of service"
         )
         assert {json.loads(text)["state"] for _, text in await command("hall-c", "out")} == {"out"}
-        assert [status for status, _ in await command("hall-a", "out")] == [409] * 6, "the last one stays"
+        assert [status for status, _ in await command("hall-a", "out")] == [409] * 6, (
+            "the last site in service must stay"
+        )
         assert [status for status, _ in await command("hall-x", "out")] == [404] * 6
         for zone in ("hall-b", "hall-c"):
             answers = await command(zone, "in")
--- a/tests/sites/test_processes_hard.py
+++ b/tests/sites/test_processes_hard.py
@@ -1,4 +1,4 @@
-"""Hard cases of a site's loss before six real processes: what is half alive, not lost, and much at once."""
+"""A site's loss with six real processes: partial failures, sites not lost, several faults at once."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 from roadlb.lab.wire import ClientGot, ClientLost, NodeFell, NodeGave, NodeGot, NodeStarted
 from roadlb.sites.life import TRIAL_US
 
-IN_FLIGHT_US = 100_000  # what had left before a word was heard
+IN_FLIGHT_US = 100_000  # for messages sent before a change was known
 
 
 @pytest.fixture(scope="module")
 def uneven_deployment(deployment: SharedDeployment) -> Iterator[SharedDeployment]:
-    """Sixty, thirty and ten percent of the capacity; the last site is one node."""
-    deployment.end()  # one at a time on the machine
+    """Zones with 60%, 30% and 10% of the capacity; the last one has a single server."""
+    deployment.end()  # one deployment at a time on the machine
     shared = SharedDeployment(UNEVEN_DEPLOYMENT)
     yield shared
     shared.end()
 
 
 def plan_ranks(incident: Incident) -> Ranks:
-    """Of requests by the plan, as far as the wire tells."""
+    """Ranks of requests by the refusal plan, as far as they follow from the messages."""
     traffic = incident.traffic
     return ranks_by(
         plan_of(incident),
@@ -49,12 +49,12 @@
 
 
 async def requests_pass(rig: Rig, requests: int = 300, zone: str = "hall-a") -> None:
-    """So many requests come to this hall, however long that takes."""
+    """Waits until this many requests have come to the zone, however long that takes."""
     since = rig.now
-    await rig.until("a while passes", lambda: len(rig.got(since, zone)) >= requests)
+    await rig.until("more requests have come", lambda: len(rig.got(since, zone)) >= requests)
 
 
-def test_a_site_that_answers_cheap_requests_alone_gets_few_orders(deployment: SharedDeployment) -> None:
+def test_a_site_that_answers_only_cheap_requests_gets_few_orders(deployment: SharedDeployment) -> None:
     async def scenario(rig: Rig) -> None:
         names = balancers_outside(rig, "hall-a")
 
@@ -67,8 +67,8 @@
         await requests_pass(rig, 200, "hall-b")
         usual_share = share(started)
         heal = rig.no_answers("hall-a", b"POST ")
-        # Few go there from the first second on, as those that fail make nodes suspect; a balancer judges
-        # the hall by three of its own.
+        # Few orders go there from the first second on, as failed ones make servers suspect; a balancer judges
+        # the site by three failed orders of its own.
         detected = await rig.until(
             "orders keep away from it",
             lambda: all(rig.sites.get(name, {}).get("hall-a", {}).get("orders_away") for name in names),
@@ -83,14 +83,14 @@
                 if event.balancer == name
             ]
             assert all(b - a > TRIAL_US - IN_FLIGHT_US for a, b in pairwise(received)), (
-                "one at a time, in turn"
+                "one order at a time, at the trial interval"
             )
         heal()
 
     deployment.run_scenario(scenario)
 
 
-def test_balancers_of_a_site_without_nodes_serve_their_clients_from_elsewhere(
+def test_balancers_of_a_zone_without_servers_serve_their_clients_from_other_zones(
     deployment: SharedDeployment,
 ) -> None:
     async def scenario(rig: Rig) -> None:
@@ -105,7 +105,7 @@
         )
 
         def balancers_serving() -> set[str]:
-            """Balancers of it whose clients, orders among what they asked, are answered from other halls."""
+            """Balancers of the zone whose clients' orders are answered from other zones."""
             orders = {event.request for event in rig.got(detected, method="POST")}
             return {
                 event.balancer
@@ -126,7 +126,7 @@
     deployment.run_scenario(scenario)
 
 
-def test_all_halls_in_trouble_at_once_and_none_is_lost_on_relative_evidence(
+def test_no_site_is_lost_when_all_zones_fail_at_once(
     deployment: SharedDeployment,
 ) -> None:
     async def scenario(rig: Rig) -> None:
@@ -144,20 +144,20 @@
             resume()
         restored = rig.now
         await rig.until(
-            "all of them serve again", lambda: all(len(rig.got(restored, zone, "POST")) > 5 for zone in ZONES)
+            "all zones serve again", lambda: all(len(rig.got(restored, zone, "POST")) > 5 for zone in ZONES)
         )
 
     deployment.run_scenario(scenario)
 
 
-def test_balancers_learn_of_a_loss_seconds_apart_each_by_itself(deployment: SharedDeployment) -> None:
+def test_balancers_detect_a_loss_seconds_apart_each_by_itself(deployment: SharedDeployment) -> None:
     async def scenario(rig: Rig) -> None:
         names, reopens, cut_at = balancers_outside(rig, "hall-c"), [], {}
         for name in names:
             cut_at[name] = rig.now
             reopens.append(rig.shut("hall-c", [name]))
             await asyncio.sleep(1.0)
-        await rig.until("all of them know", lambda: all(rig.say(name, "hall-c", "lost") for name in names))
+        await rig.until("all balancers know", lambda: all(rig.say(name, "hall-c", "lost") for name in names))
         assert not loss_reports(rig, cut_at[names[0]], "hall-a", "hall-b")
         for change in rig.changes(cut_at[names[0]]):
             if change.after == "lost" and change.site == "hall-c":
@@ -167,14 +167,14 @@
             for event in rig.got(cut_at[names[0]], "hall-c")
             if event.balancer == names[-1] and event.at < cut_at[names[-1]]
         ]
-        assert before_last, "who has not lost it goes on"
+        assert before_last, "a balancer that has not lost the site must go on sending to it"
         for reopen in reopens:
             reopen()
 
     deployment.run_scenario(scenario)
 
 
-def test_orders_under_way_as_a_site_is_lost_fail_and_are_not_repeated(deployment: SharedDeployment) -> None:
+def test_orders_in_flight_when_a_site_is_lost_fail_and_are_not_retried(deployment: SharedDeployment) -> None:
     async def scenario(rig: Rig) -> None:
         def orders_in_flight() -> set[str]:
             recent = rig.now - 2_000_000
@@ -185,7 +185,7 @@
         fleet = rig.stage.fleet
         for server in fleet.there.values():
             if server.hall == "hall-a":
-                fleet.slow(server, 20.0)  # so that they are many, however quick the machine is
+                fleet.slow(server, 20.0)  # so that many are in flight, however fast the machine is
         async with asyncio.timeout(GENEROUS_S):
             while len(orders := orders_in_flight()) < 3:
                 await asyncio.sleep(0.005)
@@ -200,16 +200,16 @@
                 if event.request in orders
             }
 
-        await rig.until("their clients know how it ended", lambda: len(outcomes()) == len(orders))
+        await rig.until("their clients have an outcome", lambda: len(outcomes()) == len(orders))
         assert orders and 200 not in outcomes().values()
         received = [event.request for event in rig.got(lost_at - 10_000_000) if event.request in orders]
-        assert sorted(received) == sorted(orders), "each came to one node, once"
+        assert sorted(received) == sorted(orders), "each must reach one server, once"
         await restore()
 
     deployment.run_scenario(scenario)
 
 
-def test_a_site_lost_in_the_middle_of_a_rolling_deploy_in_another(deployment: SharedDeployment) -> None:
+def test_a_site_is_lost_during_a_rolling_deploy_in_another(deployment: SharedDeployment) -> None:
     async def scenario(rig: Rig) -> None:
         started = rig.now
         deploy = asyncio.create_task(rig.stage.step(0))
@@ -219,13 +219,13 @@
         await deploy
         await restore()
         await rig.until("whole", lambda: len(rig.sites) == 6 and rig.all_say("hall-b", "whole"))
-        assert not loss_reports(rig, started, "hall-a", "hall-c"), "to drain is not to be lost"
+        assert not loss_reports(rig, started, "hall-a", "hall-c"), "a draining site must not count as lost"
         assert not rig.events(NodeFell, started)
 
     deployment.run_scenario(scenario)
 
 
-def test_a_site_with_sixty_percent_of_the_capacity_is_lost_and_fells_nobody(
+def test_the_loss_of_a_site_with_60_percent_of_the_capacity_crashes_no_server(
     uneven_deployment: SharedDeployment,
 ) -> None:
     async def scenario(rig: Rig) -> None:
@@ -234,13 +234,13 @@
         detected = await rig.until("hall-a lost to all", lambda: rig.all_say("hall-a", "lost", "absent"))
         await requests_pass(rig, 300, "hall-b")
         await requests_pass(rig, 60, "hall-c")
-        assert not loss_reports(rig, started, "hall-b", "hall-c"), "what is overloaded is not lost"
-        # Reads that ask whether a lost site is back would else be refused, and are no breach.
+        assert not loss_reports(rig, started, "hall-b", "hall-c"), "an overloaded site must not count as lost"
+        # Trial reads sent to the lost site would have been refused otherwise; they do not break the order.
         observed = [
             event for event in rig.log if not (isinstance(event, NodeGot) and rig.hall_of(event) == "hall-a")
         ]
         plan_order = order_of_refusals(observed, plan_ranks(rig.incident), since=detected + COMMAND_EFFECT_US)
-        assert plan_order.refusals and plan_order.share > 0.8, "orders go last, whatever the moment"
+        assert plan_order.refusals and plan_order.share > 0.8, "orders must be refused last, at any moment"
         await restore()
         await rig.until("whole", lambda: len(rig.sites) == 6 and rig.all_say("hall-a", "whole"))
         assert not rig.events(NodeFell, started)
@@ -248,7 +248,7 @@
     uneven_deployment.run_scenario(scenario)
 
 
-def test_a_site_of_a_single_node_is_not_judged_as_a_site(uneven_deployment: SharedDeployment) -> None:
+def test_a_site_of_a_single_server_is_never_lost_as_a_site(uneven_deployment: SharedDeployment) -> None:
     async def scenario(rig: Rig) -> None:
         started = rig.now
         restore = rig.lose("hall-c")
@@ -261,8 +261,10 @@
     uneven_deployment.run_scenario(scenario)
 
 
-def test_a_program_that_returns_a_site_at_once_is_found_out(uneven_deployment: SharedDeployment) -> None:
-    # That nobody skips the steps of the return is a claim that can fail: a planted defect in each process.
+def test_a_mutation_that_returns_a_site_without_steps_is_detected(
+    uneven_deployment: SharedDeployment,
+) -> None:
+    # Shows that the check for skipped steps can fail: each process runs with the mutation.
     async def scenario(rig: Rig) -> None:
         since = rig.now
         reopen = rig.shut("hall-b")
@@ -271,9 +273,11 @@
         )
         await asyncio.sleep(2)
         reopen()
-        await rig.until("it is whole without a step", lambda: bool(returns_without_steps(rig.changes(since))))
+        await rig.until(
+            "whole without the steps of a return", lambda: bool(returns_without_steps(rig.changes(since)))
+        )
 
-    uneven_deployment.end()  # one at a time on the machine
+    uneven_deployment.end()  # one deployment at a time on the machine
     mutated = SharedDeployment(variables=mutants.variables("return at once"))
     try:
         mutated.run_scenario(scenario)
--- a/tests/sites/test_processes_planted.py
+++ b/tests/sites/test_processes_planted.py
@@ -1,4 +1,4 @@
-"""Planted defects can still be planted: what they replace is there, and a child has them from its start."""
+"""Mutations can still be applied: what they replace exists, and a child process has them from its start."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from roadlb.lab import mutants
 
-SEEN = """
+PROGRAM = """
 from roadlb.sites import life, refusal
 from roadlb.policy.state import Server
 one = refusal.Refusals()
@@ -30,9 +30,9 @@
         ("reversed plan", "3 1000000 sound False True"),
     ],
 )
-def test_each_defect_is_there_from_the_childs_first_line(name: str, seen: str) -> None:
+def test_each_mutation_is_in_force_from_the_first_line_of_a_child_process(name: str, seen: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-c", SEEN],
+        [sys.executable, "-c", PROGRAM],
         env={**os.environ, **mutants.variables(name)},
         capture_output=True,
         text=True,
@@ -43,7 +43,7 @@
     assert found[:2] + found[3:] == [word for word in seen.split() if word not in ("sound", "0.0")]
 
 
-def test_a_defect_whose_place_is_gone_or_unknown_says_so() -> None:
+def test_a_mutation_of_a_missing_attribute_or_of_unknown_name_is_reported() -> None:
     with pytest.raises(AttributeError, match="has no nothing: this defect needs to be planted anew"):
         mutants.put(mutants.Server, "nothing", 1)
     with pytest.raises(ValueError, match="planted are no hysteresis, blind spill"):
--- a/tests/sites/test_refusal.py
+++ b/tests/sites/test_refusal.py
@@ -1,4 +1,4 @@
-"""What is refused first, and how much: the plan's lines, worth without one, and work in hand."""
+"""Which requests are refused first, and how many: the plan, the order by worth, and the load in flight."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     (READ, False, False, False),
     (READ, False, False, True),
     (ORDER, False, False, False),
-]  # class, over share, repeat, warm key
+]  # class, over its share, retry, warm key
 
 
 @pytest.mark.parametrize("share", [0.1, 0.3, 0.5, 0.7, 0.9])
-def test_a_plan_refuses_its_lines_in_turn(share: float) -> None:
+def test_requests_are_refused_in_the_order_of_the_plan_lines(share: float) -> None:
     refusals, rng = Refusals(PLAN), random.Random(1)
     refused_counts = [0] * len(REQUESTS)
     for n in range(10_000):
@@ -40,29 +40,31 @@
     assert shares == pytest.approx([min(1, max(0, share * 5 - line)) for line in range(5)], abs=0.05)
 
 
-def test_without_a_plan_worth_decides_and_a_plan_is_bounded() -> None:
+def test_without_a_plan_worth_decides_the_order_and_the_length_of_a_plan_is_bounded() -> None:
     refusals = Refusals()
     ranks = [refusals.rank(worth, READ, 0, False, False, False) for worth in (0, 0.2, 2, 4, 10, 1e9)]
     assert ranks == sorted(ranks) and len(set(ranks)) == len(ranks)
     repeats = [refusals.rank(worth, READ, 0, False, True, False) for worth in (2, 10)]
-    assert repeats[0] < ranks[2] < repeats[1] < ranks[4], "repeats first, but within what is worth alike"
+    assert repeats[0] < ranks[2] < repeats[1] < ranks[4], (
+        "retries first, but only among requests of similar worth"
+    )
     with pytest.raises(ValueError, match="refusal.plan"):
         Refusals([PlanLine()] * RANKS)
 
 
-def test_a_customer_is_over_its_share_by_the_excess_alone() -> None:
+def test_only_the_excess_of_a_tenant_counts_as_over_its_share() -> None:
     quotas, rng = Quotas([100.0, 1e9]), random.Random(1)
     for _ in range(20):
         for _ in range(100):
             quotas.ask(0)
-            quotas.ask(7)  # a customer that nobody knows
+            quotas.ask(7)  # an unknown tenant
         quotas.fade()
     over = sum(quotas.over(0, 2, rng.random()) for _ in range(2_000)) / 2_000
     assert over == pytest.approx(0.5, abs=0.05) and not quotas.over(1, 2, 1.0) and not quotas.over(7, 2, 1.0)
 
 
 class QueueSimulation:
-    """One queue that serves so many a second, each after at least `takes_us`, before one balancer."""
+    """A balancer and a queue that serves `rate_per_s` requests a second, after at least `latency_us`."""
 
     def __init__(self, rate_per_s: float, latency_us: int = 30_000, aim_us: int = 500_000) -> None:
         self.in_flight_load, self.aim_us, self.latency_us = WorkInHand(), aim_us, latency_us
@@ -71,7 +73,7 @@
         self.arrived_count = 0
 
     def run(self, demand_per_s: float, seconds: float, answers: bool = True) -> list[float]:
-        """Open-loop demand; the wait of each admitted request, in seconds."""
+        """Sends open-loop demand; returns the wait of each admitted request, in seconds."""
         waits, rng = [], random.Random(1)
         end = self.now + int(seconds * 1e6)
         while self.now < end:
@@ -91,18 +93,19 @@
 
 
 @pytest.mark.parametrize("load", [1.5, 2.0, 4.0, 8.0])
-def test_what_remains_is_used_second_for_second_whatever_is_asked(load: float) -> None:
-    # An integral of missed aims swung between all and nothing: 14% in one second, 96% in the next.
+def test_the_capacity_is_used_in_every_second_whatever_the_demand(load: float) -> None:
+    # An integral of missed latency targets oscillated between all and nothing: 14% in one second, 96% in the
+    # next.
     queue = QueueSimulation(200)
     queue.run(120, 10)
     queue.run(load * 200, 3)
     served = [len(waits) for waits in (queue.run(load * 200, 1) for _ in range(15))]
     assert min(served) > 0.8 * 200 and sum(served) > 0.95 * 200 * 15
-    assert max(queue.run(load * 200, 2)) < 0.45, "in time"
+    assert max(queue.run(load * 200, 2)) < 0.45, "answers must be in time"
 
 
-def test_a_queue_of_a_minute_is_not_taken_for_usual() -> None:
-    # The wait that was held grew with what was taken for usual, to 0.6 of the aim, and answers came late.
+def test_a_queue_that_lasts_a_minute_does_not_become_the_baseline() -> None:
+    # The wait that shedding allowed grew with the baseline, to 0.6 of the latency target: answers were late.
     queue = QueueSimulation(200)
     queue.run(120, 10)
     early, late = queue.run(800, 10), queue.run(800, 60)[-2_000:]
@@ -110,14 +113,14 @@
 
 
 @pytest.mark.parametrize("latency_us", [5_000, 100_000, 150_000])
-def test_a_usual_wait_is_no_reason_to_shed(latency_us: int) -> None:
+def test_a_wait_at_the_baseline_causes_no_shedding(latency_us: int) -> None:
     queue = QueueSimulation(1_000, latency_us)
     queue.run(200, 30)
     arrived_before = queue.arrived_count
     assert len(queue.run(200, 10)) > 0.95 * (queue.arrived_count - arrived_before)
 
 
-def test_nothing_is_shed_before_anything_is_known_nor_after_a_pause() -> None:
+def test_nothing_is_shed_before_the_first_answers_nor_after_a_pause() -> None:
     queue = QueueSimulation(200)
     assert queue.in_flight_load.shortage(queue.now) == 0
     queue.run(120, 10)
@@ -126,15 +129,15 @@
     assert queue.in_flight_load.shortage(queue.now) == 0
 
 
-def test_with_no_answer_at_all_a_few_are_let_through() -> None:
+def test_a_few_requests_are_admitted_when_nothing_is_answered() -> None:
     queue = QueueSimulation(200)
     queue.run(120, 10)
     queue.run(400, 5, answers=False)
     assert MOST <= queue.in_flight_load.shortage(queue.now) <= DEEP_MOST
 
 
-def test_where_one_in_forty_can_be_served_answers_are_in_time_still() -> None:
-    # With 0.05 let in at any wait twice of what could be served came, and every answer was late.
+def test_answers_are_in_time_where_one_request_in_forty_can_be_served() -> None:
+    # With 0.05 of the demand admitted at any wait, twice the capacity came, and every answer was late.
     queue = QueueSimulation(50)
     queue.run(30, 10)
     queue.run(2_000, 30)
@@ -142,17 +145,19 @@
     assert sum(wait < 0.5 for wait in waits) > 0.9 * 50 * 10
 
 
-def test_the_mean_decides_in_deep_shortage_alone_and_not_on_little_evidence() -> None:
+def test_the_mean_wait_decides_only_in_a_severe_shortage_with_enough_evidence() -> None:
     steady, rng = Steady(), random.Random(1)
     for _ in range(3_000):
         wait_ratio = rng.choice((0.2, 0.6, 0.95))
         assert steady.share(wait_ratio, wait_ratio, 10_000, 10_000) == wait_ratio, (
-            "0.58 in the mean: the quick share, as it was"
+            "a mean of 0.58 is no severe shortage: the current share is unchanged"
         )
     rarely_asked = Steady()
     for _ in range(5):
-        assert rarely_asked.share(1.5, MOST, 60_000_000, 10_000) == MOST, "five in five minutes prove nothing"
+        assert rarely_asked.share(1.5, MOST, 60_000_000, 10_000) == MOST, (
+            "five looks in five minutes are too little evidence"
+        )
     for _ in range(2_000):
         steady.share(1.1, MOST, 10_000, 10_000)
     assert steady.share(1.1, MOST, 10_000, 10_000) > 0.98 and steady.share(0.5, 0.5, 10_000, 10_000) > 0.85
-    assert steady.share(0.5, 0.5, 10_000, 250_000) == 0.5, "four answers a second"
+    assert steady.share(0.5, 0.5, 10_000, 250_000) == 0.5, "four answers a second are too few"
--- a/tests/sites/test_site_states.py
+++ b/tests/sites/test_site_states.py
@@ -1,4 +1,4 @@
-"""The table of a site's life, line by line: what makes it doubtful, lost, returning, whole and out."""
+"""The state machine of a site: what makes it doubtful, lost, returning, whole and out of service."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class SitesUnderTest:
-    """Three sites with so many servers each, and a clock."""
+    """Three sites with the given numbers of servers, and a simulated clock."""
 
     def __init__(self, *server_counts: int) -> None:
         self.sites, self.now = Sites(), SECOND
@@ -85,13 +85,13 @@
         return next(view.share for view in self.sites.view() if view.site == site)
 
     def pass_step(self, site: int, answers: int = STEP_ANSWERS) -> None:
-        """A step's time passes, with so many answers."""
+        """Lets the time of one step pass, then delivers this many answers."""
         self.now += STEP_US
         for _ in range(answers):
             self.answer(site)
 
 
-def test_each_failure_counts_until_any_answer() -> None:
+def test_failures_count_until_any_server_of_the_site_answers() -> None:
     harness = SitesUnderTest()
     harness.fail_attempts(OTHER_SITE, DOUBT)
     assert harness.state(OTHER_SITE) is State.DOUBTFUL
@@ -100,15 +100,15 @@
     harness.answer(OTHER_SITE)
     assert harness.state(OTHER_SITE) is State.WHOLE
     harness.fail_attempts(OTHER_SITE, DOUBT - 1)
-    assert harness.state(OTHER_SITE) is State.WHOLE, "counted anew"
+    assert harness.state(OTHER_SITE) is State.WHOLE, "the count must start again after an answer"
 
 
-def test_a_site_is_lost_when_others_answer_and_never_when_nobody_does() -> None:
+def test_a_site_is_lost_only_while_another_site_answers() -> None:
     harness = SitesUnderTest()
     for site in (OWN_SITE, OTHER_SITE, THIRD_SITE):
         harness.fail_attempts(site, 4)
     assert {harness.state(site) for site in (OWN_SITE, OTHER_SITE, THIRD_SITE)} == {State.DOUBTFUL}, (
-        "it may be our own link"
+        "the fault may be in this balancer's own link"
     )
     harness.answer(OWN_SITE)
     harness.fail_attempts(OTHER_SITE, 1)
@@ -118,8 +118,9 @@
     ]
 
 
-def test_doubt_is_ended_by_a_trial_one_way_or_the_other() -> None:
-    # What has failed is avoided one by one: in a hall of four, a third server was never asked, for 45 s.
+def test_a_trial_ends_the_doubt_whether_it_is_answered_or_fails() -> None:
+    # Servers that have failed are avoided one by one: without trials, in a zone of four the third server got
+    # no request for 45 s, so the site stayed in doubt.
     for answers, after in ((True, State.WHOLE), (False, State.LOST)):
         harness = SitesUnderTest()
         harness.fail_attempts(OTHER_SITE, DOUBT)
@@ -132,7 +133,7 @@
         assert harness.state(OTHER_SITE) is after
 
 
-def test_a_trial_that_its_copy_overtakes_ends_a_long_doubt_and_raises_none() -> None:
+def test_a_trial_whose_hedge_answers_first_can_end_a_long_doubt_but_not_raise_one() -> None:
     harness = SitesUnderTest()
     for _ in range(20):
         harness.sites.overtaken(harness.now, OTHER_SITE, harness.server(OTHER_SITE, 0))
@@ -142,13 +143,13 @@
     harness.answer(OWN_SITE)
     for n in range(4):
         harness.sites.overtaken(harness.now, OTHER_SITE, harness.server(OTHER_SITE, n))
-    assert harness.state(OTHER_SITE) is State.DOUBTFUL, "two have ended, and those that are left are slow"
+    assert harness.state(OTHER_SITE) is State.DOUBTFUL, "two servers may have ended, and the others be slow"
     harness.now += DOUBT_US
     harness.sites.overtaken(harness.now, OTHER_SITE, harness.server(OTHER_SITE, 0))
     assert harness.state(OTHER_SITE) is State.LOST
 
 
-def test_of_a_site_that_copies_overtake_an_attempt_in_turn_runs_to_its_end() -> None:
+def test_where_hedges_always_answer_first_an_attempt_in_each_interval_runs_to_its_end() -> None:
     harness = SitesUnderTest()
     harness.answer(OTHER_SITE)
     for n in range(LOSS):
@@ -161,21 +162,21 @@
     assert harness.sites.keeps(harness.now, OTHER_SITE)
     harness.answer(OTHER_SITE)
     harness.now += 2 * QUIET_US
-    assert not harness.sites.keeps(harness.now, OTHER_SITE), "an answer begins the count anew"
+    assert not harness.sites.keeps(harness.now, OTHER_SITE), "the count must start again after an answer"
 
 
-def test_slow_by_overload_is_not_lost() -> None:
+def test_a_site_that_is_slow_by_overload_is_not_lost() -> None:
     harness = SitesUnderTest(20, 20, 20)
     for i in range(200):
         harness.now += 5_000
         harness.handle(Missed(OTHER_SITE, harness.server(OTHER_SITE, i % 20)))
         if i % 2:
-            harness.answer(OTHER_SITE)  # late as it is
+            harness.answer(OTHER_SITE)  # late, but an answer
         harness.answer(OWN_SITE)
     assert not any(isinstance(a, Changed) and a.after is State.LOST for a in harness.actions)
 
 
-def test_one_that_answered_a_moment_ago_is_not_lost_by_failures_that_come_together() -> None:
+def test_simultaneous_failures_soon_after_an_answer_do_not_lose_a_site() -> None:
     harness = SitesUnderTest()
     harness.answer(OTHER_SITE)
     harness.fail_attempts(OTHER_SITE, LOSS)
@@ -188,9 +189,9 @@
     assert harness.state(OTHER_SITE) is State.LOST
 
 
-def test_one_whose_answers_took_long_is_lost_by_a_longer_silence_alone() -> None:
+def test_a_site_with_slow_answers_is_lost_only_after_a_longer_silence() -> None:
     def silence_before_loss(took_us: int, ago_us: int = 0) -> int:
-        """How long it was unheard when it was lost."""
+        """The time from its last answer to its loss."""
         harness = SitesUnderTest()
         harness.handle(Answered(OTHER_SITE, harness.server(OTHER_SITE, 0), took_us=took_us))
         harness.now += ago_us
@@ -205,12 +206,14 @@
     usual = silence_before_loss(20_000)
     assert QUIET_US <= usual < QUIET_US + 200_000
     assert QUIET_TIMES * 500_000 <= silence_before_loss(500_000) < QUIET_TIMES * 500_000 + 200_000
-    assert QUIET_MOST_US <= silence_before_loss(5 * SECOND) < QUIET_MOST_US + 200_000, "in the end it is lost"
-    assert silence_before_loss(500_000, SLOW_US + 1) == usual, "that was long ago"
+    assert QUIET_MOST_US <= silence_before_loss(5 * SECOND) < QUIET_MOST_US + 200_000, (
+        "the silence needed is bounded"
+    )
+    assert silence_before_loss(500_000, SLOW_US + 1) == usual, "a slow answer long ago must not count"
 
 
 @pytest.mark.parametrize("servers", [1, LOSS - 1])
-def test_a_site_of_few_servers_is_not_judged_as_one(servers: int) -> None:
+def test_a_site_of_few_servers_is_never_doubtful_or_lost(servers: int) -> None:
     harness = SitesUnderTest(4, servers, 4)
     for _ in range(50):
         harness.answer(OWN_SITE)
@@ -218,7 +221,7 @@
     assert harness.state(OTHER_SITE) is State.WHOLE and not harness.sites.shut(harness.now, OTHER_SITE, False)
 
 
-def test_one_server_that_fails_again_and_again_is_not_its_site() -> None:
+def test_repeated_failures_of_one_server_do_not_count_against_its_site() -> None:
     harness = SitesUnderTest()
     for _ in range(100):
         harness.answer(OWN_SITE)
@@ -226,7 +229,7 @@
     assert harness.state(OTHER_SITE) is State.WHOLE
 
 
-def test_a_lost_site_is_tried_in_turn_with_what_may_run_twice() -> None:
+def test_a_lost_site_gets_one_trial_per_interval_by_a_repeatable_request() -> None:
     harness = SitesUnderTest()
     harness.lose_site(OTHER_SITE)
     assert harness.sites.due(harness.now) == -1 and harness.sites.shut(
@@ -236,9 +239,11 @@
     assert harness.sites.due(harness.now) == OTHER_SITE
     assert not harness.sites.shut(harness.now, OTHER_SITE, repeatable=True)
     assert harness.sites.shut(harness.now, OTHER_SITE, repeatable=False)
-    assert not harness.sites.shut(harness.now, OTHER_SITE, repeatable=True, bold=True), "nowhere else to go"
+    assert not harness.sites.shut(harness.now, OTHER_SITE, repeatable=True, bold=True), (
+        "a request with no other site to go to"
+    )
     assert harness.sites.shut(harness.now, OTHER_SITE, repeatable=False, bold=True), (
-        "what it would lose stays lost"
+        "an order lost there could not be retried"
     )
     harness.handle(Sent(OTHER_SITE))
     assert harness.sites.due(harness.now) == -1 and harness.sites.shut(
@@ -246,7 +251,7 @@
     )
 
 
-def test_trials_of_a_balancer_with_little_traffic_are_rarer() -> None:
+def test_a_balancer_with_little_traffic_makes_fewer_trials() -> None:
     harness = SitesUnderTest()
     harness.sites.usual([(OTHER_SITE, 2.0), (OWN_SITE, 2.0)])
     harness.lose_site(OTHER_SITE)
@@ -256,7 +261,7 @@
     assert harness.sites.due(harness.now) == OTHER_SITE
 
 
-def test_a_server_started_since_the_loss_is_tried_at_once() -> None:
+def test_a_server_started_after_the_loss_gets_a_trial_at_once() -> None:
     harness = SitesUnderTest()
     harness.lose_site(OTHER_SITE)
     harness.now += TRIAL_US // 4
@@ -268,7 +273,7 @@
     assert harness.sites.due(harness.now) == OTHER_SITE
 
 
-def test_the_return_is_paced_by_steps_that_answers_earn() -> None:
+def test_a_return_takes_load_in_steps_and_each_step_needs_answers() -> None:
     harness = SitesUnderTest()
     harness.lose_site(OTHER_SITE)
     harness.now += 2 * SHORT_US
@@ -290,8 +295,8 @@
     assert shares == list(STEPS) and harness.state(OTHER_SITE) is State.WHOLE
 
 
-def test_what_would_be_refused_waits_for_no_step_but_for_the_first_answer() -> None:
-    # A hall's steps are shares of what is sent, and where little is, they kept it empty for two seconds.
+def test_requests_that_would_be_refused_need_only_the_first_answer_of_a_return() -> None:
+    # The steps of a return are shares of what is sent; where little is sent, they kept a zone empty for 2 s.
     harness = SitesUnderTest()
     harness.lose_site(OTHER_SITE)
     assert harness.sites.shut(harness.now, OTHER_SITE, repeatable=True, spare=True)
@@ -302,7 +307,7 @@
     assert not harness.sites.shut(harness.now, OTHER_SITE, repeatable=True, spare=True)
 
 
-def test_no_answers_no_step() -> None:
+def test_a_return_takes_no_further_step_without_answers() -> None:
     harness = SitesUnderTest()
     harness.lose_site(OTHER_SITE)
     harness.now += 2 * SHORT_US
@@ -312,7 +317,7 @@
     assert harness.share(OTHER_SITE) == STEPS[0]
 
 
-def test_a_loss_of_a_moment_needs_no_steps() -> None:
+def test_a_site_lost_for_a_short_time_returns_without_steps() -> None:
     harness = SitesUnderTest()
     harness.lose_site(OTHER_SITE)
     harness.now += SHORT_US // 2
@@ -320,7 +325,7 @@
     assert harness.state(OTHER_SITE) is State.WHOLE
 
 
-def test_a_site_that_flaps_is_tried_ever_less_and_forgiven_when_it_holds() -> None:
+def test_trials_of_a_flapping_site_become_rarer_until_it_has_been_stable() -> None:
     harness, waits = SitesUnderTest(), []
     harness.lose_site(OTHER_SITE)
     for _ in range(6):
@@ -344,13 +349,15 @@
 
 
 @pytest.mark.parametrize("outage_us", [SHORT_US // 2, 2 * SHORT_US])
-def test_one_that_is_lost_again_soon_after_it_was_whole_has_relapsed(outage_us: int) -> None:
+def test_a_loss_soon_after_the_site_was_whole_again_is_a_relapse(outage_us: int) -> None:
     harness, relapses = SitesUnderTest(), []
     for holds_us in (STEADY_US // 2, STEADY_US // 2, STEADY_US + 1):
         harness.lose_site(OTHER_SITE)
         relapses.append(harness.sites.sites[OTHER_SITE].relapses)
         lost = harness.now
-        assert harness.sites.due(lost + (TRIAL_US << relapses[-1]) - 10_000) == -1, "it waits twice as long"
+        assert harness.sites.due(lost + (TRIAL_US << relapses[-1]) - 10_000) == -1, (
+            "the wait must double with each relapse"
+        )
         harness.now = max(lost + outage_us, harness.now)
         harness.answer(OTHER_SITE)
         while harness.state(OTHER_SITE) is State.RETURNING:
@@ -359,11 +366,14 @@
         harness.now += holds_us
         harness.handle(Pulse())
     harness.lose_site(OTHER_SITE)
-    assert relapses == [0, 1, 2] and harness.sites.sites[OTHER_SITE].relapses == 0, "it held"
+    assert relapses == [0, 1, 2] and harness.sites.sites[OTHER_SITE].relapses == 0, (
+        "it was stable before this loss"
+    )
 
 
-def test_servers_that_end_in_turn_during_a_deploy_are_no_sign_of_a_loss() -> None:
-    # Each fails once its process has ended, is drained or another one in the next list; nobody answers.
+def test_servers_that_end_one_by_one_during_a_deploy_do_not_lose_their_site() -> None:
+    # Each server fails after its process has ended; the next list has it drained or as a new process.  No
+    # server of the site answers.
     harness = SitesUnderTest()
     servers_there = {harness.server(OTHER_SITE, i): 0 for i in range(4)}
     sites = {n: {harness.server(n, i): 0 for i in range(4)} for n in (OWN_SITE, THIRD_SITE)}
@@ -373,13 +383,13 @@
         old = harness.server(OTHER_SITE, i)
         harness.handle(Missed(OTHER_SITE, old))
         if i % 2:
-            servers_there[old] = harness.now  # starts anew, under its name
+            servers_there[old] = harness.now  # a new process under the same address
         else:
             del servers_there[old]
             servers_there[bytes([OTHER_SITE, 9, i])] = harness.now
         harness.handle(Listed({**sites, OTHER_SITE: dict(servers_there)}))
         if not i % 2:
-            harness.handle(Missed(OTHER_SITE, old))  # what was still under way there
+            harness.handle(Missed(OTHER_SITE, old))  # an attempt that was still in flight there
     assert not [
         action for action in harness.actions if isinstance(action, Changed) and action.site == OTHER_SITE
     ]
@@ -389,10 +399,10 @@
     harness.handle(
         Listed({**sites, OTHER_SITE: {**servers_there, harness.server(OTHER_SITE, 3): harness.now + 1}})
     )
-    assert harness.state(OTHER_SITE) is State.WHOLE, "what it was doubted for is another process now"
+    assert harness.state(OTHER_SITE) is State.WHOLE, "one of the failed servers is a new process now"
 
 
-def test_two_sites_of_three_one_after_the_other() -> None:
+def test_two_of_three_sites_are_lost_one_after_the_other() -> None:
     harness = SitesUnderTest()
     harness.lose_site(OTHER_SITE)
     harness.fail_attempts(THIRD_SITE, 1)
@@ -403,13 +413,13 @@
         and harness.state(OWN_SITE) is State.WHOLE
     )
     harness.now += 2 * SHORT_US
-    harness.answer(OTHER_SITE)  # one is lost while another returns
+    harness.answer(OTHER_SITE)  # one may be lost while another returns
     harness.fail_attempts(OWN_SITE, LOSS)
-    assert harness.state(OWN_SITE) is State.DOUBTFUL, "nobody else has answered since"
+    assert harness.state(OWN_SITE) is State.DOUBTFUL, "no other site has answered since its first failure"
     assert harness.state(OTHER_SITE) is State.RETURNING
 
 
-def test_an_operator_takes_a_site_out_and_puts_it_in_and_the_last_one_stays() -> None:
+def test_an_operator_takes_sites_out_of_service_but_not_the_last_one() -> None:
     harness = SitesUnderTest()
     assert harness.handle(TakeOut(OTHER_SITE)) == [
         Changed(OTHER_SITE, State.WHOLE, State.OUT, "an operator's word")
@@ -426,12 +436,12 @@
     )
     harness.handle(Listed({OWN_SITE: {b"a": 0}, THIRD_SITE: {b"b": 0}}))
     harness.handle(Listed({OWN_SITE: {b"a": 0}, OTHER_SITE: {b"c": 0}, THIRD_SITE: {b"b": 0}}))
-    assert harness.state(OTHER_SITE) is State.OUT, "the word outlives a list"
+    assert harness.state(OTHER_SITE) is State.OUT, "the command must outlast a list without the site"
     harness.handle(PutIn(OTHER_SITE))
     assert harness.state(OTHER_SITE) is State.RETURNING and harness.share(OTHER_SITE) == STEPS[0]
 
 
-def test_a_site_that_the_list_drops_is_forgotten_and_the_table_is_bounded() -> None:
+def test_a_whole_site_that_leaves_the_list_is_removed_and_the_table_is_bounded() -> None:
     harness = SitesUnderTest()
     harness.lose_site(OTHER_SITE)
     harness.handle(Listed({OWN_SITE: {b"a": 0}}))
@@ -440,7 +450,7 @@
     harness.now += 1
     harness.handle(Listed({OWN_SITE: {b"a": 0}, OTHER_SITE: {b"new": harness.now}}))
     assert harness.sites.due(harness.now) == OTHER_SITE, (
-        "a loss outlives the list, and new servers are tried at once"
+        "a loss outlasts the list, and new servers are tried at once"
     )
     harness.answer(OTHER_SITE)
     harness.handle(Listed({n: {b"a": 0} for n in range(2 * MOST_SITES)}))
@@ -448,7 +458,7 @@
     assert not harness.sites.shut(harness.now, 2 * MOST_SITES - 1, repeatable=False)
 
 
-def test_a_return_outlives_the_list_and_begins_anew() -> None:
+def test_a_return_outlasts_the_list_and_starts_from_the_first_step_again() -> None:
     harness = SitesUnderTest()
     others = {n: {harness.server(n, i): 0 for i in range(4)} for n in (OWN_SITE, THIRD_SITE)}
     harness.lose_site(OTHER_SITE)
@@ -457,22 +467,24 @@
     harness.pass_step(OTHER_SITE)
     assert harness.share(OTHER_SITE) == STEPS[1]
     harness.handle(Listed(others))
-    assert harness.sites.spare(harness.now) == -1, "nobody is there"
+    assert harness.sites.spare(harness.now) == -1, "it has no servers now"
     for _ in range(3):
-        harness.pass_step(OTHER_SITE)  # what was still under way
+        harness.pass_step(OTHER_SITE)  # answers to requests that were still in flight
     harness.handle(
         Listed({**others, OTHER_SITE: {harness.server(OTHER_SITE, i): harness.now for i in range(4)}})
     )
     assert harness.state(OTHER_SITE) is State.RETURNING and harness.share(OTHER_SITE) == STEPS[0]
     harness.handle(Sent(OTHER_SITE))
-    assert harness.sites.shut(harness.now, OTHER_SITE, repeatable=True), "its room is that of the first step"
+    assert harness.sites.shut(harness.now, OTHER_SITE, repeatable=True), (
+        "it must take no more than the first step allows"
+    )
     for _ in STEPS:
         harness.pass_step(OTHER_SITE)
     assert harness.state(OTHER_SITE) is State.WHOLE
 
 
 def report_silence(harness: SitesUnderTest, site: int = OTHER_SITE, for_us: int = 6 * SECOND) -> None:
-    """Others have had no answer of it for a while."""
+    """Delivers a peer report: other balancers get no answer from the site."""
     harness.now += 1_000
     harness.handle(Doubted(site, harness.now - 500, harness.now + for_us))
 
@@ -481,7 +493,7 @@
     return harness.sites.shut(harness.now, OTHER_SITE, repeatable)
 
 
-def test_a_site_that_does_not_answer_others_gets_trials_only_and_is_not_lost_for_that() -> None:
+def test_peer_reports_of_a_silent_site_limit_it_to_trials_but_do_not_lose_it() -> None:
     harness = SitesUnderTest()
     harness.answer(OWN_SITE)
     report_silence(harness)
@@ -497,19 +509,19 @@
         and not harness.sites.shut(harness.now, OTHER_SITE, True, bold=True)
         and harness.sites.due(harness.now) == -1
     )
-    for _ in range(20):  # however often they say it
+    for _ in range(20):  # however often peers report it
         harness.now += SECOND // 4
         report_silence(harness)
         harness.handle(Pulse())
     assert harness.state(OTHER_SITE) is State.DOUBTFUL
     harness.fail_attempts(OTHER_SITE, 1)
     harness.answer(OWN_SITE)
-    assert harness.state(OTHER_SITE) is State.DOUBTFUL, "one own failure is too little"
+    assert harness.state(OTHER_SITE) is State.DOUBTFUL, "one failure seen here is too few"
     harness.fail_attempts(OTHER_SITE, 2)
-    assert harness.state(OTHER_SITE) is State.LOST, "it has been in doubt for long, and two have failed here"
+    assert harness.state(OTHER_SITE) is State.LOST, "in doubt for long, and two servers have failed here"
 
 
-def test_the_first_answer_ends_what_others_say_and_they_are_not_heeded_again_for_the_same() -> None:
+def test_the_first_answer_ends_a_peer_report_and_its_repetition_is_ignored() -> None:
     harness = SitesUnderTest()
     report_silence(harness)
     since = harness.now - 500
@@ -519,17 +531,17 @@
     assert harness.state(OTHER_SITE) is State.WHOLE
     report_silence(harness)
     harness.now += SHORT_US
-    harness.answer(OTHER_SITE)  # others have had its load for long
+    harness.answer(OTHER_SITE)  # other sites have had its load for long
     assert harness.state(OTHER_SITE) is State.RETURNING
 
 
-def test_what_others_say_of_a_site_ends_with_its_age() -> None:
+def test_a_peer_report_expires() -> None:
     harness = SitesUnderTest()
     report_silence(harness, for_us=SECOND)
     harness.now += SECOND
     harness.handle(Pulse())
     assert harness.state(OTHER_SITE) is State.WHOLE and not is_other_site_closed(harness, repeatable=False)
-    harness.fail_attempts(OTHER_SITE, DOUBT)  # ... but not what was met here
+    harness.fail_attempts(OTHER_SITE, DOUBT)  # ... but not failures seen here
     report_silence(harness, for_us=SECOND)
     harness.now += SECOND
     harness.handle(Pulse())
@@ -540,7 +552,7 @@
     )
 
 
-def test_no_word_takes_the_last_whole_site_nor_a_small_one_nor_moves_one_that_is_lost_or_out() -> None:
+def test_peer_reports_do_not_affect_the_last_whole_site_a_small_one_or_one_out_of_service() -> None:
     harness = SitesUnderTest(4, 4, LOSS - 1)
     report_silence(harness, THIRD_SITE)
     assert harness.state(THIRD_SITE) is State.WHOLE
--- a/tests/sites/test_warm_up.py
+++ b/tests/sites/test_warm_up.py
@@ -1,4 +1,4 @@
-"""When a server counts as cold that no list calls so."""
+"""When a server counts as just started although the server list does not say so."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
     return warmth
 
 
-def test_a_server_of_a_site_that_is_back_counts_as_just_started_until_the_list_could_have_said() -> None:
+def test_servers_of_a_returned_site_count_as_just_started_until_the_list_must_be_current() -> None:
     warmth = warmth_after_loss(50 * SECOND, 60 * SECOND)
     for born in (0, 10 * SECOND):  # long ago, and 50 s before
         assert warmth.part(60 * SECOND, 1, born) == 0.2
         assert warmth.part(62 * SECOND, 1, born) == pytest.approx(0.28)
         assert warmth.part(60 * SECOND + LISTED_US, 1, born) == 1.0
-        assert warmth.part(60 * SECOND, 2, born) == 1.0  # of another site
+        assert warmth.part(60 * SECOND, 2, born) == 1.0  # a server of another site
 
 
-def test_a_start_that_the_list_tells_goes_before_the_guess() -> None:
+def test_a_start_time_in_the_list_overrides_the_assumed_one() -> None:
     warmth = warmth_after_loss(50 * SECOND, 60 * SECOND)
     assert warmth.part(60 * SECOND, 1, 55 * SECOND) == pytest.approx(0.4)
 
 
-def test_a_site_that_was_never_lost_keeps_its_servers_warm() -> None:
-    # An operator has put it in again: its processes are those that the list has.
+def test_servers_of_a_site_that_was_never_lost_stay_warm() -> None:
+    # An operator has returned the site to service: its processes are those in the list.
     warmth = Warmth(0.2, 20 * SECOND)
     assert not warmth.hear(60 * SECOND, [Changed(1, State.OUT, State.RETURNING, "")])
     assert warmth.part(60 * SECOND, 1, 0) == 1.0
