--- a/tests/engine/test_own_load.py
+++ b/tests/engine/test_own_load.py
@@ -51,7 +51,7 @@
 
 
 class FakeTransport:
-    """A transport whose socket reports that its last bytes came `received_ms_ago`; None: it reports nothing."""
+    """A transport whose socket reports when its last bytes came; None: it reports nothing."""
 
     def __init__(self, received_ms_ago: int | None) -> None:
         self.received_ms_ago = received_ms_ago
