--- a/tests/sites/test_processes_hard.py
+++ b/tests/sites/test_processes_hard.py
@@ -31,10 +31,10 @@
 @pytest.fixture(scope="module")
 def uneven_deployment(deployment: SharedDeployment) -> Iterator[SharedDeployment]:
     """Zones with 60%, 30% and 10% of the capacity; the last one has a single server."""
-    deployment.end()  # one deployment at a time on the machine
+    deployment.stop()  # one deployment at a time on the machine
     shared = SharedDeployment(UNEVEN_DEPLOYMENT)
     yield shared
-    shared.end()
+    shared.stop()
 
 
 def plan_ranks(incident: Incident) -> Ranks:
@@ -277,9 +277,9 @@
             "whole without the steps of a return", lambda: bool(returns_without_steps(rig.changes(since)))
         )
 
-    uneven_deployment.end()  # one deployment at a time on the machine
+    uneven_deployment.stop()  # one deployment at a time on the machine
     mutated = SharedDeployment(variables=mutants.variables("return at once"))
     try:
         mutated.run_scenario(scenario)
     finally:
-        mutated.end()
+        mutated.stop()
