--- a/tests/sites/test_refusal.py
+++ b/tests/sites/test_refusal.py
@@ -67,7 +67,7 @@
     """A balancer and a queue that serves `rate_per_s` requests a second, after at least `latency_us`."""
 
     def __init__(self, rate_per_s: float, latency_us: int = 30_000, aim_us: int = 500_000) -> None:
-        self.in_flight_load, self.aim_us, self.latency_us = WorkInHand(), aim_us, latency_us
+        self.in_flight, self.aim_us, self.latency_us = WorkInHand(), aim_us, latency_us
         self.rate_per_s, self.free_at, self.now = rate_per_s, 0, 1_000_000
         self.finish_times: list[int] = []
         self.arrived_count = 0
@@ -79,12 +79,12 @@
         while self.now < end:
             self.now += int(rng.expovariate(demand_per_s / 1e6)) + 1
             while self.finish_times and self.finish_times[0] <= self.now:
-                self.in_flight_load.answered(at := self.finish_times.pop(0))
-                self.in_flight_load.ended(at, self.aim_us)
+                self.in_flight.answered(at := self.finish_times.pop(0))
+                self.in_flight.ended(at, self.aim_us)
             self.arrived_count += 1
-            if rng.random() < self.in_flight_load.shortage(self.now):
+            if rng.random() < self.in_flight.shortage(self.now):
                 continue
-            self.in_flight_load.began(self.now, self.aim_us)
+            self.in_flight.began(self.now, self.aim_us)
             if answers:
                 self.free_at = max(self.free_at + int(1e6 / self.rate_per_s), self.now + self.latency_us)
                 self.finish_times.append(self.free_at)
@@ -122,18 +122,18 @@
 
 def test_nothing_is_shed_before_the_first_answers_nor_after_a_pause() -> None:
     queue = QueueSimulation(200)
-    assert queue.in_flight_load.shortage(queue.now) == 0
+    assert queue.in_flight.shortage(queue.now) == 0
     queue.run(120, 10)
     queue.now += 600_000_000
     queue.run(1, 2)
-    assert queue.in_flight_load.shortage(queue.now) == 0
+    assert queue.in_flight.shortage(queue.now) == 0
 
 
 def test_a_few_requests_are_admitted_when_nothing_is_answered() -> None:
     queue = QueueSimulation(200)
     queue.run(120, 10)
     queue.run(400, 5, answers=False)
-    assert MOST <= queue.in_flight_load.shortage(queue.now) <= DEEP_MOST
+    assert MOST <= queue.in_flight.shortage(queue.now) <= DEEP_MOST
 
 
 def test_answers_are_in_time_where_one_request_in_forty_can_be_served() -> None:
