--- a/tests/sites/test_orders_away.py
+++ b/tests/sites/test_orders_away.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from test_site_states import THIRD_SITE, OWN_SITE, SECOND, OTHER_SITE, SitesUnderTest
+from test_site_states import OTHER_SITE, OWN_SITE, SECOND, THIRD_SITE, SitesUnderTest
 
 from roadlb.sites.events import Listed, Missed, OrdersKept, PutIn, Sent, State, TakeOut
 from roadlb.sites.life import DOUBT, LOSS, QUIET_US, SHORT_US, TRIAL_MOST_US, TRIAL_US
