--- a/tests/sites/six.py
+++ b/tests/sites/shared_deployment.py
@@ -1,4 +1,4 @@
-"""Six balancers in three halls, each a process: one deployment for many scenarios, one after another."""
+"""Six balancer processes in three zones: one deployment on which many scenarios run one after another."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from roadlb.lab.incident import read
 from roadlb.lab.run.rig import Rig, SiteChange
 
-HALLS = "hall-a", "hall-b", "hall-c"
+ZONES = "hall-a", "hall-b", "hall-c"
 DEPLOYMENT = """
-title = "three halls"
+title = "three zones"
 [fleet]
 nodes = 12
 [balancers]
@@ -39,50 +39,50 @@
 over_s = 5
 drain_s = 1
 """
-UNEVEN = DEPLOYMENT.replace(
+UNEVEN_DEPLOYMENT = DEPLOYMENT.replace(
     "nodes = 12",
     "".join(
         f"""
 [[fleet.group]]
-hall = "{hall}"
+hall = "{zone}"
 machine = "new-2c"
 count = {count}
 """
-        for hall, count in zip(HALLS, (6, 3, 1), strict=True)
+        for zone, count in zip(ZONES, (6, 3, 1), strict=True)
     ),
 )
-UNEVEN += """
+UNEVEN_DEPLOYMENT += """
 [[refusal]]
 class = "grid-read"
 """
-TOLD_US = 1_000_000  # nothing new is sent later than this after a word is answered
+COMMAND_EFFECT_US = 1_000_000  # after a command is answered no new request is sent against it later than this
 Scenario = Callable[[Rig], Coroutine[Any, Any, None]]
 
 
-def without_steps(changes: Sequence[SiteChange]) -> list[SiteChange]:
-    """A site that was lost for over a second, and is whole with the next word on it.
+def returns_without_steps(changes: Sequence[SiteChange]) -> list[SiteChange]:
+    """Changes of a site that was lost for over a second straight to whole, without the steps of a return.
 
-    Half a second more is for what a busy machine puts between a decision and its line in the log."""
+    Half a second is added for the delay between a decision and its log line on a busy machine."""
     since: dict[tuple[str, str], int] = {}
-    found = []
+    skipped = []
     for change in changes:
-        gone_us = change.at - since.get((change.balancer, change.site), change.at)
-        if change.before == "lost" and change.after == "whole" and gone_us > 1_500_000:
-            found.append(change)
+        outage_us = change.at - since.get((change.balancer, change.site), change.at)
+        if change.before == "lost" and change.after == "whole" and outage_us > 1_500_000:
+            skipped.append(change)
         since[change.balancer, change.site] = change.at
-    return found
+    return skipped
 
 
-def foreign(rig: Rig, hall: str) -> list[str]:
-    """The names of balancers of other halls."""
-    return [one.name for one in rig.stage.balancers.all if one.hall != hall]
+def balancers_outside(rig: Rig, zone: str) -> list[str]:
+    """Names of the balancers in other zones."""
+    return [balancer.name for balancer in rig.stage.balancers.all if balancer.hall != zone]
 
 
-def lost(rig: Rig, since: int, *sites: str) -> list[SiteChange]:
-    """Each time that a balancer has said since then that one of these sites is lost.
+def loss_reports(rig: Rig, since: int, *sites: str) -> list[SiteChange]:
+    """Changes to lost of any of these sites that a balancer has logged since then.
 
-    Not counted where the rig itself, with all nodes, stood still for a tenth of the 2 s before: sites that
-    are silent then are as good as lost."""
+    A change is left out if the rig, which runs all servers, was held up for a tenth of the 2 s before it: the
+    sites were silent then, as lost ones are."""
     return [
         change
         for change in rig.changes(since)
@@ -92,11 +92,11 @@
     ]
 
 
-class Six:
-    """The next scenario finds all whole again, or, where one has failed, a deployment of its own.
+class SharedDeployment:
+    """Runs scenarios on one deployment; each waits until all sites are whole, and a failure starts a new one.
 
-    A site that is lost within 10 s of its return has relapsed, and is asked only after 2 s, then 4, then 8:
-    so scenarios that follow each other lose different halls."""
+    A site that is lost within 10 s of its return has relapsed, and its next trial comes only after 2 s, then
+    4, then 8: so consecutive scenarios lose different zones."""
 
     def __init__(
         self, deployment: str = DEPLOYMENT, seed: int = 1, variables: Mapping[str, str] | None = None
@@ -105,33 +105,33 @@
         self._runner: asyncio.Runner | None = None
         self._rig: Rig
 
-    def play(self, scenario: Scenario) -> None:
+    def run_scenario(self, scenario: Scenario) -> None:
         try:
             if self._runner is None:
                 self._runner = asyncio.Runner(loop_factory=uvloop.new_event_loop)
                 self._rig = Rig(self._incident, self._seed, variables=self._variables)
                 self._runner.run(self._rig.__aenter__())
-            self._runner.run(self._play(scenario))
+            self._runner.run(self._run_scenario(scenario))
         except BaseException:
-            self.end()
+            self.stop()
             raise
 
-    async def _play(self, scenario: Scenario) -> None:
+    async def _run_scenario(self, scenario: Scenario) -> None:
         rig, since = self._rig, self._rig.now
         await rig.dealt()
         await rig.until(
             "all whole, with load",
             lambda: (
                 len(rig.sites) == len(rig.stage.balancers.all)
-                and all(rig.all_say(hall, "whole") and len(rig.got(since, hall)) > 5 for hall in HALLS)
+                and all(rig.all_say(zone, "whole") and len(rig.got(since, zone)) > 5 for zone in ZONES)
             ),
         )
         await scenario(rig)
         assert not rig.repeated_orders(since)
         assert not rig.world.faults
 
-    def end(self) -> None:
-        """Nobody is left behind."""
+    def stop(self) -> None:
+        """Ends the deployment with all its processes."""
         runner, self._runner = self._runner, None
         if runner is None:
             return
