--- a/roadlb/agreement/table.py
+++ b/roadlb/agreement/table.py
@@ -202,7 +202,7 @@
         "1",
     ),
     # A cold node that has proved nothing is tried with one request in each such time: in less than a second
-    # that is more than its part of what it can carry (routing/cold.py).
+    # that is more than its part of what it can carry (routing/slow_start_budget.py).
     _more("invariants.fall_us", "Settings.fall_us", "and for how long", "1000000"),
     _free("limits.conn_idle_us", "Settings.keep_us", OWN),
     _free("limits.dial_timeout_us", "", OWN),
--- a/roadlb/lab/mutants/__init__.py
+++ b/roadlb/lab/mutants/__init__.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ...policy.state import Server
-from ...routing.shares import Shares
+from ...routing.shares import BudgetShares
 from ...shared_state import told
 from ...shared_state.budgets import Budgets
 from ...sites import life
@@ -63,8 +63,8 @@
     "blind spill": blind_spill,
     "return at once": return_at_once,
     "reversed plan": reversed_plan,
-    "RepeatsAreFree": lambda: put(Shares, "sent", rates.repeats_are_free),
-    "DialsAreFree": lambda: put(Shares, "sent", rates.dials_are_free),
+    "RepeatsAreFree": lambda: put(BudgetShares, "record_attempt", rates.repeats_are_free),
+    "DialsAreFree": lambda: put(BudgetShares, "record_attempt", rates.dials_are_free),
     **{defect.__name__: _budgets(defect) for defect in (*budgets.DEFECTS, budgets.TakesTheWhole)},
 }
 
--- a/roadlb/lab/mutants/rates.py
+++ b/roadlb/lab/mutants/rates.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from ...routing.shares import Shares
+from ...routing.shares import BudgetShares
 
-SENT = Shares.sent
+RECORD_ATTEMPT = BudgetShares.record_attempt
 
 
-def repeats_are_free(shares: Shares, now: int, hall: int, away: bool, again: bool) -> None:
+def repeats_are_free(shares: BudgetShares, now: int, zone: int, is_away: bool, is_retry: bool) -> None:
     """A repeat spends nothing of the share."""
-    SENT(shares, now, hall, away, False)
+    RECORD_ATTEMPT(shares, now, zone, is_away, False)
 
 
-def dials_are_free(shares: Shares, now: int, hall: int, away: bool, again: bool) -> None:
+def dials_are_free(shares: BudgetShares, now: int, zone: int, is_away: bool, is_retry: bool) -> None:
     """A request to a hall that is away spends nothing of the share."""
-    SENT(shares, now, hall, False, again)
+    RECORD_ATTEMPT(shares, now, zone, False, is_retry)
--- a/roadlb/lab/sharing/record.py
+++ b/roadlb/lab/sharing/record.py
@@ -30,17 +30,17 @@
 
     def of_rate(share: float | None) -> tuple[float, float]:
         if share is None:
-            return (1 / held.parts,) * 2
+            return (1 / held.process_count,) * 2
         least = min(share, told.floor)
         return (least if 0 < told.until <= now else share), least
 
     for number in range(len(module.s.tenants)):
-        found[f"customer {number}"] = 1 / held.of_quota(now, number), 1 / held.of_quota(FAR, number)
+        found[f"customer {number}"] = 1 / held.quota_divisor(now, number), 1 / held.quota_divisor(FAR, number)
     for server in module.list.servers.values():
         if server.part(module.warmth, now) < 1:
             found[f"{server.id.hex()} {server.born}"] = (
-                1 / held.of_cold(now, server.id),
-                1 / held.of_cold(FAR, server.id),
+                1 / held.slow_start_divisor(now, server.id),
+                1 / held.slow_start_divisor(FAR, server.id),
             )
     if told.repeats_per_s:
         found["repeats"] = of_rate(told.repeats)
--- a/roadlb/policy/logic.py
+++ b/roadlb/policy/logic.py
@@ -13,10 +13,10 @@
 import random
 from collections.abc import Callable, Iterable
 
-from ..routing.key_order import HASH, mix
-from ..routing.key_sets import RECENT_US, KeySet, KeySets
-from ..routing.shares import Shares
-from ..routing.standing import Standings
+from ..routing.key_order import HASH_MASK, splitmix64
+from ..routing.key_sets import MAX_REPORT_AGE_US, KeySet, KeySets
+from ..routing.shares import BudgetShares
+from ..routing.health import HealthTracker
 from ..sites.events import Doubted, Listed, Pulse, PutIn, TakeOut
 from ..sites.life import Sites
 from ..sites.refusal import Quotas, Refusals
@@ -76,16 +76,16 @@
         self.s, self.random = settings, random.Random(seed)
         self.classes = [ClassState(c, c.aim_us / 4, c.aim_us / 2) for c in settings.classes]
         self.dialling = settings.dialling
-        self.standings = Standings(self.random.random)
+        self.standings = HealthTracker(self.random.random)
         self.warmth = Warmth(settings.cold_from, settings.cold_us)
         self.list = ServerList(self.standings, self.warmth)
         self.sets: KeySets[Server] = KeySets(self.list.order)
         self.requests: dict[int, Request] = {}
         # Requests without a key share one server set, this balancer's own, and so the connections to it.
-        self.own_key = mix(settings.instance + 1) or 1
+        self.own_key = splitmix64(settings.instance + 1) or 1
         self.fleet, self.sites = self.list.fleet, Sites()
         self.slow_start = SlowStart()
-        self.shares = Shares(settings.instances)  # of what all together may do
+        self.shares = BudgetShares(settings.instances)  # of what all together may do
         self.pressure, self.alone, self.refusals = 0.0, 0.0, Refusals(settings.refusals)
         self.hand, self.quotas = WorkInHand(), Quotas([t.quota_per_s for t in settings.tenants])
         self.own, self.watched = 0.0, False  # this process's own shortage; has one been told at all?
@@ -105,7 +105,7 @@
             Heard: self.heard,
             BodyWhole: self.body_whole,
             Changed: self.changed,
-            Twins: lambda e: self.shares.twins(self.now, e.count),
+            Twins: lambda e: self.shares.set_process_count(self.now, e.count),
             SiteWord: lambda e: self.sites.tell(self.now, (TakeOut if e.out else PutIn)(e.site)),
         }
 
@@ -151,7 +151,9 @@
         self.refusals.fade()
         self.quotas.fade()
         self.slow_start.tick(self.now, self.list.warm(self.sites), self.list.weight)
-        self.sets.told([s.told * s.inverse for s in self.list.ready if self.now - s.queue_at < RECENT_US])
+        self.sets.update_reports(
+            [s.told * s.inverse for s in self.list.ready if self.now - s.queue_at < MAX_REPORT_AGE_US]
+        )
         each = self.slow_start.carried / (self.slow_start.mean or 1.0) / self.list.weight
         self.sites.usual([(s.zone, each * s.weight * s.share) for s in self.list.ready])
         self.sites.tell(self.now, Pulse())
@@ -187,11 +189,11 @@
         if (
             not s.up
             or self.sites.shut(self.now, s.zone, safe, r.bold, r.spare)
-            or s.barred(self.now, s.out, self.aim, safe, r.cls.spec.effect is Effect.UNSAFE, r.bold)
+            or s.is_excluded(self.now, s.out, self.aim, safe, r.cls.spec.effect is Effect.UNSAFE, r.bold)
         ):
             return False
         return (s.share >= 1 or self.cold_room(s, r) > 0) and not (
-            self.shares.bounded and self.sites.away(s.zone) and not self.shares.may_dial(self.now, s.zone)
+            self.shares.is_limited and self.sites.away(s.zone) and not self.shares.may_dial(self.now, s.zone)
         )
 
     def cold_room(self, s: Server, r: Request) -> float:
@@ -206,8 +208,8 @@
             self.sites.view(),
             self.alone,
             self.quotas.rates,
-            self.shares.repeats_held,
-            dict(self.shares.dials_held),
+            self.shares.rejected_retries,
+            dict(self.shares.rejected_dials),
         )
 
     def judge(self, s: Server, r: Request, status: Status, latency: int, unheard: bool) -> None:
@@ -216,19 +218,19 @@
         if status is Status.OK:
             s.rested.append(now)
             if s.share < 1:
-                s.cold.did(now, r.work or cls.least, self.s.fall_us)
+                s.cold.record_completed(now, r.work or cls.least, self.s.fall_us)
             if s.share >= 1 or self.pressure <= 0:
                 cls.took(latency)  # while it sheds, one that is spared tells nothing of what the rest wait
-            self.standings.good(s)
+            self.standings.record_success(s)
             return
         if status is Status.CANCELLED and unheard:
             if latency > r.cls.spec.aim_us:
                 status = Status.TIMEOUT  # called off, but it never came
             self.sites.overtaken(now, s.zone, s.id)
         if status in (Status.FULL, Status.CONNECT_FAILED):
-            self.standings.turned(now, s, cls.latency)
+            self.standings.record_full(now, s, cls.latency)
         if status in FAILED:
-            self.standings.failed(now, s, status is Status.SPOILT, len(self.list.ready))
+            self.standings.record_failure(now, s, status is Status.SPOILT, len(self.list.ready))
             # One that had less than the usual time left says nothing of the site: it may have been under way.
             short = status is Status.TIMEOUT and latency < cls.tail
             if status is not Status.SPOILT and not short and self.sites.missed(now, s.zone, s.id, r.order):
@@ -261,8 +263,8 @@
         count, mean = len(self.list.ready), part * self.fleet.load(self.now, self.aim)
         for n in range(r.key, r.key + min(count, 2 * SAMPLE)):
             s = self.list.ready[n % count]
-            gets_less = s.share < 1 or s.suspect(self.now)
-            if gets_less and s.load(self.now, self.aim) <= self.sets.low(s, mean) and self.usable(s, r):
+            gets_less = s.share < 1 or s.is_suspect(self.now)
+            if gets_less and s.load(self.now, self.aim) <= self.sets.low_mark(s, mean) and self.usable(s, r):
                 return s
         return None
 
@@ -289,28 +291,30 @@
         s, ks = self.member(r, tried)
         if s and self.dialling and not s.connected(self.now, self.s.keep_us):
             # Each server that one node uses seldom costs it a dial for nearly every request.
-            o = self.least([o for o in ks.order if o.connected(self.now, self.s.keep_us)], r, tried, SAMPLE)
+            o = self.least(
+                [o for o in ks.candidates if o.connected(self.now, self.s.keep_us)], r, tried, SAMPLE
+            )
             load, mean = s.load(self.now, self.aim), self.fleet.load(self.now, self.aim)
-            if o and o.load(self.now, self.aim) <= max(load, self.sets.low(o, mean)):
+            if o and o.load(self.now, self.aim) <= max(load, self.sets.low_mark(o, mean)):
                 return o
         return s
 
     def member(self, r: Request, tried: list[Server]) -> tuple[Server | None, KeySet[Server]]:
         """The server of the key's set for the next attempt, which may have to join it first; and the set."""
         now, aim, sets = self.now, self.aim, self.sets
-        ks = sets.use(r.key, self.list.version)
+        ks = sets.get_or_create(r.key, self.list.version)
         best = self.least(ks.members, r, tried, len(ks.members))
         mean = self.fleet.load(now, aim)
         if best is None:
-            other = self.least(ks.order, r, tried, 1)
-            if other and other.load(now, aim) > sets.low(other, mean):
-                other = self.least(ks.order, r, tried, SAMPLE)
+            other = self.least(ks.candidates, r, tried, 1)
+            if other and other.load(now, aim) > sets.low_mark(other, mean):
+                other = self.least(ks.candidates, r, tried, SAMPLE)
             other = other or self.anywhere(r, tried)
         elif sets.suffices(now, aim, best, mean, ks):
             return best, ks
         else:
-            other = self.least(sets.more(r.key, ks), r, tried + ks.members, SAMPLE)
-            if not sets.relieves(now, aim, other, best, mean):
+            other = self.least(sets.more_candidates(r.key, ks), r, tried + ks.members, SAMPLE)
+            if not sets.should_join(now, aim, other, best, mean):
                 return best, ks
         ks.join(now, other)
         return other, ks
@@ -328,8 +332,8 @@
                 return False
         self.slow_start.sent(s, r.work or r.cls.least)
         del s.rested[-1:]
-        if self.shares.bounded:
-            self.shares.sent(now, s.zone, self.sites.away(s.zone), bool(r.attempts))
+        if self.shares.is_limited:
+            self.shares.record_attempt(now, s.zone, self.sites.away(s.zone), bool(r.attempts))
         if not r.spare:
             self.sites.sent(now, s.zone, s.id, r.order)
         write_by_us = r.write_by_us()
@@ -347,7 +351,7 @@
     def begin(self, a: Attempt) -> None:
         s = a.server
         if not s.out:
-            s.since = self.now
+            s.oldest_sent_at = self.now
         self.slow_start.began(self.now, a)
         self.list.count(self.now, self.aim, s, 1)
 
@@ -360,7 +364,7 @@
             first is None
             or spec.effect is Effect.SAFE
             or (spec.effect is Effect.KEYED and self.now - first.sent < spec.window_us)
-        ) and self.shares.may_repeat(self.now)
+        ) and self.shares.may_retry(self.now)
 
     def look_at(self, request: int) -> None:
         """An answer is overdue: note a missed aim, or send a second copy where allowed and of use."""
@@ -391,14 +395,14 @@
         self.slow_start.ended(self.now, a, r.work or r.cls.least, e.status is Status.OK)
         if len(e.report) > self.queue_field >= 0:
             s.told, s.queue_at = e.report[self.queue_field], self.now
-            s.queue = s.told / self.shares.alike
+            s.queue = s.told / self.shares.balancer_count
         if e.status in (Status.OK, Status.ERROR, Status.FULL, Status.SPOILT):
-            s.heard = self.now
+            s.last_answer_at = self.now
             self.sites.answered(self.now, s.zone, r.order, e.latency_us)
             if e.status is not Status.FULL:
                 self.hand.answered(self.now)
-        self.judge(s, r, e.status, e.latency_us, unheard=a.sent > s.heard)
-        if e.status is Status.FULL and s.fulls == 1:
+        self.judge(s, r, e.status, e.latency_us, unheard=a.sent > s.last_answer_at)
+        if e.status is Status.FULL and s.full_count == 1:
             # Work turned away again and again says that a server drains, not that there is too much work.
             self.hand.turned(self.now, r.cls.spec.aim_us)
         if e.closed or r.closed:
@@ -493,13 +497,13 @@
         self.own, self.watched = min(OWN_MOST, max(0.0, e.share)), True
 
     def heard(self, e: Heard) -> None:
-        self.shares.told(
+        self.shares.update(
             self.now, e.parts, e.cold, e.quotas, e.pressure, e.until, e.floor, e.wholes, e.lean, e.stale
         )
-        self.shares.bound(self.now, e.rest, e.repeats_per_s, e.repeats, e.dials_per_s, e.dials)
+        self.shares.set_rate_limits(self.now, e.rest, e.repeats_per_s, e.repeats, e.dials_per_s, e.dials)
         for server, until in e.avoid.items():
             if s := self.list.servers.get(server):
-                self.standings.avoid(s, until, len(self.list.ready))
+                self.standings.apply_peer_report(s, until, len(self.list.ready))
         for site, (since, until) in e.silent.items():
             self.sites.tell(self.now, Doubted(site, since, until))
 
@@ -521,7 +525,7 @@
         if not coming:
             self.quotas.ask(e.tenant)
         if over := self.quotas.over(
-            e.tenant, self.shares.of_quota(self.now, e.tenant), self.random.random() if tenants else 1.0
+            e.tenant, self.shares.quota_divisor(self.now, e.tenant), self.random.random() if tenants else 1.0
         ):
             worth *= self.s.over_share_worth
         if not self.s.worth_by_work and e.work_us:
@@ -537,7 +541,7 @@
         if pressure <= 0:
             return False
         # Among equals the key decides, alike on all nodes: what is served then stays the same, and cached.
-        luck = (mix(e.key) & HASH) / HASH if e.key else self.random.random()
+        luck = (splitmix64(e.key) & HASH_MASK) / HASH_MASK if e.key else self.random.random()
         refused = self.refusals.refused(rank, luck, pressure)
         if refused and coming:
             self.refusals.ask(rank)
--- a/roadlb/policy/server_list.py
+++ b/roadlb/policy/server_list.py
@@ -7,9 +7,9 @@
 
 from __future__ import annotations
 
-from ..routing.cold import ColdBudget
-from ..routing.key_order import KeyOrder
-from ..routing.standing import Standings
+from ..routing.slow_start_budget import SlowStartBudget
+from ..routing.key_order import RendezvousOrder
+from ..routing.health import HealthTracker
 from ..sites.life import Sites
 from ..sites.warmth import Warmth
 from .interface import Group, ListKind, ListUpdate, Member, ServerId, ServerState, ServerView, Settings
@@ -34,14 +34,14 @@
         "weight",
     )
 
-    def __init__(self, standings: Standings, warmth: Warmth) -> None:
+    def __init__(self, standings: HealthTracker, warmth: Warmth) -> None:
         self.standings = standings
         self.warmth = warmth
         self.fleet = Server(b"")  # stands for all of them
         self.servers: dict[ServerId, Server] = {}
         self.ready: list[Server] = []  # listed as ready, by id
         self.groups: dict[tuple[int, int], list[Server]] = {}  # of them, by (cell or zone, its number)
-        self.keys = KeyOrder()  # of the same positions as `ready`
+        self.keys = RendezvousOrder()  # of the same positions as `ready`
         self.version = 0  # of `ready`
         self.weight = 1.0  # what those that are ready can do by now, at the least
         self.cold_part = 0.0  # of it, the share of those that are cold
@@ -58,7 +58,7 @@
         for server in [self.servers[i] for i in gone if i in self.servers and i not in listed]:
             left |= server.up
             server.up = False
-            self.standings.gone(server)
+            self.standings.remove(server)
             del self.servers[server.id]
         for m in present:
             left |= self._put(now, m, settings, aim_us)
@@ -73,7 +73,7 @@
             s.mean = self.fleet.load(now, aim_us) * m.weight * s.part(self.warmth, now) / 2
         elif m.born_us != s.born:
             # A fresh process under an old name: nothing said of the old one counts.
-            self.standings.fresh(s)
+            self.standings.reset(s)
             s.born, s.rested = m.born_us, []
         was_up = s.up
         s.up, s.cell, s.zone = m.state is ServerState.READY, m.cell, m.zone
@@ -90,7 +90,7 @@
         for s in self.ready:
             part = s.part(self.warmth, now)
             if part < s.share:
-                s.cold = ColdBudget()  # a fresh process, or it may be
+                s.cold = SlowStartBudget()  # a fresh process, or it may be
             s.share = part
             s.inverse = 1 / (s.weight * s.share)
             self.groups.setdefault((Group.CELL, s.cell), []).append(s)
@@ -99,19 +99,19 @@
         self.cold_part = sum(s.weight * s.share for s in self.ready if s.share < 1) / self.weight
         self.fleet.inverse = 1 / self.weight
         far = FAR if settings.cross_zone_cost > 0 else 1.0
-        self.keys = KeyOrder(
+        self.keys = RendezvousOrder(
             (s.hash, s.inverse * (1.0 if s.zone == settings.zone else far)) for s in self.ready
         )
 
     def warm(self, sites: Sites) -> float:
         """The capacity of warm servers that take requests: neither ejected nor in a zone that is away."""
         return sum(
-            s.weight for s in self.ready if s.share >= 1 and not s.eject_until and not sites.away(s.zone)
+            s.weight for s in self.ready if s.share >= 1 and not s.ejected_until and not sites.away(s.zone)
         )
 
     def order(self, key: int, count: int) -> list[Server]:
         """The first few servers of a key's weighted rendezvous order."""
-        return [self.ready[i] for i in self.keys.first(key, count)]
+        return [self.ready[i] for i in self.keys.first_positions(key, count)]
 
     def starts(self) -> dict[int, dict[bytes, int]]:
         """Of each zone, those that are ready, with the clock time of their start."""
--- a/roadlb/policy/slow_start.py
+++ b/roadlb/policy/slow_start.py
@@ -1,17 +1,18 @@
 """What one balancer may send to cold servers, of what all balancers together may.  No I/O.
 
-`roadlb.routing.cold` has the budget of one server; here is what it follows from: what a capacity of 1 was
-seen to carry, the work of a request in the mean, and the pace of cold servers.  What a capacity carries is
-seen at warm servers: what cold ones are sent follows from it, and would prove itself.  While none is warm it
-stays as it was; a balancer that has never known a warm one goes by what it sends to cold ones.
+`roadlb.routing.slow_start_budget` has the budget of one server; here is what it follows from: what a
+capacity of 1 was seen to carry, the work of a request in the mean, and the pace of cold servers.  What a
+capacity carries is seen at warm servers: what cold ones are sent follows from it, and would prove itself.
+While none is warm it stays as it was; a balancer that has never known a warm one goes by what it sends to
+cold ones.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from ..routing.cold import Pace
-from ..routing.shares import Shares
+from ..routing.slow_start_budget import CapacityThroughput
+from ..routing.shares import BudgetShares
 from .interface import Settings
 from .server_list import ServerList
 from .state import Attempt, Server
@@ -45,7 +46,7 @@
         self.carried = 0.0  # work a second that this balancer sends, in the mean of late
         self.carries = 0.0  # the same for a capacity of 1
         self.mean = 0.0  # work of one request, in the mean of late
-        self.pace = Pace()  # of cold servers
+        self.pace = CapacityThroughput()  # of cold servers
 
     def has(self, now: int, warm: float) -> None:
         """From now on warm servers have this capacity."""
@@ -56,7 +57,7 @@
     def tick(self, now: int, warm: float, capacity: float) -> None:
         """Once a second: capacities of warm servers and of all."""
         self.has(now, warm)
-        self.pace.fade()
+        self.pace.decay()
         self.carried += (self._sent - self.carried) * LATEST
         if self._warm_us > 0:
             self._known_warm = True
@@ -80,14 +81,14 @@
         """The server can begin with it now."""
         if a.server.share < 1:
             a.held = a.server.weight * a.server.share
-            self.pace.hold(now, a.held)
+            self.pace.add_in_use(now, a.held)
 
     def ended(self, now: int, a: Attempt, work: float, answered: bool) -> None:
         """It is over; `answered`: well."""
         if a.held:
-            self.pace.hold(now, -a.held)
+            self.pace.add_in_use(now, -a.held)
             if answered:
-                self.pace.did(work)
+                self.pace.record_completed(work)
 
     def room(
         self,
@@ -95,18 +96,20 @@
         s: Server,
         work: float,
         servers: ServerList,
-        shares: Shares,
+        shares: BudgetShares,
         settings: Settings,
         chance: Callable[[], float],
     ) -> float:
         """What is left of this balancer's part of a cold server's budget, in work."""
         carries = (
-            s.share * s.weight * max(self.carries * shares.alike, servers.cold_part * self.pace.least(now))
+            s.share
+            * s.weight
+            * max(self.carries * shares.balancer_count, servers.cold_part * self.pace.lower_bound(now))
         )
-        return s.cold.room(
+        return s.cold.remaining(
             now,
             carries,
-            shares.of_cold(now, s.id),
+            shares.slow_start_divisor(now, s.id),
             self.mean or work,
             settings.fall_multiple,
             settings.fall_us,
--- a/roadlb/policy/state.py
+++ b/roadlb/policy/state.py
@@ -5,9 +5,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from ..routing.cold import ColdBudget
-from ..routing.key_order import HASH, mix
-from ..routing.standing import Standing
+from ..routing.slow_start_budget import SlowStartBudget
+from ..routing.key_order import HASH_MASK, splitmix64
+from ..routing.health import ServerHealth
 from ..sites.warmth import Warmth
 from ..sites.work_in_hand import WorkInHand
 from .interface import Effect, RequestClass, ServerId, ServerView, SetTimer
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Server(Standing):
+class Server(ServerHealth):
     """What this node knows of one server; how it stands with it is its `Standing`."""
 
     id: ServerId
@@ -34,12 +34,12 @@
     queue: float = 0.0  # this node's part of a reported queue, when it was reported
     queue_at: int = 0
     told: float = 0.0  # the whole of that queue
-    cold: ColdBudget = field(default_factory=ColdBudget)
+    cold: SlowStartBudget = field(default_factory=SlowStartBudget)
     rested: list[int] = field(default_factory=list)  # when each connection that idles there came to rest
     hash: int = field(init=False)
 
     def __post_init__(self) -> None:
-        self.hash = mix(int.from_bytes(self.id, "big")) & HASH
+        self.hash = splitmix64(int.from_bytes(self.id, "big")) & HASH_MASK
 
     def part(self, warmth: Warmth, now: int) -> float:
         """The least part of its capacity that it can have by now."""
@@ -67,13 +67,13 @@
         mean = self.mean + (self.out - self.mean) * passed / (passed + TAU_US)
         return ServerView(
             self.id,
-            self.up and self.eligible(now, self.out, patience_us),
+            self.up and self.is_eligible(now, self.out, patience_us),
             share,
-            self.eject_until > 0,
-            self.suspect(now),
+            self.ejected_until > 0,
+            self.is_suspect(now),
             (mean + self.out) / (self.weight * share),
             self.born,
-            self.cold.passed,
+            self.cold.rejected_count,
             self.zone,
         )
 
--- a/roadlb/routing/key_order.py
+++ b/roadlb/routing/key_order.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Iterable
 
-HASH = (1 << 30) - 1
-MORE = 4  # so many more than are asked for are looked at, in the mean
+HASH_MASK = (1 << 30) - 1
+EXTRA_CANDIDATES = 4  # so many more than are asked for are looked at, in the mean
 
 
-def mix(x: int) -> int:
+def splitmix64(x: int) -> int:
     """Scatter an integer over 64 bits, alike in every process (splitmix64)."""
     x = (x + 0x9E3779B97F4A7C15) & 0xFFFFFFFFFFFFFFFF
     x = ((x ^ x >> 30) * 0xBF58476D1CE4E5B9) & 0xFFFFFFFFFFFFFFFF
@@ -16,23 +16,23 @@
     return x ^ x >> 31
 
 
-class KeyOrder:
+class RendezvousOrder:
     """Of servers in a fixed order, by (their hash, 0..HASH; the inverse of their weight)."""
 
-    __slots__ = ("_near", "_servers")
+    __slots__ = ("_servers", "_total_weight")
 
     def __init__(self, servers: Iterable[tuple[int, float]] = ()) -> None:
         self._servers = list(servers)
-        self._near = sum(1 / inverse for _, inverse in self._servers) or 1.0
+        self._total_weight = sum(1 / inverse for _, inverse in self._servers) or 1.0
 
-    def first(self, key: int, count: int) -> list[int]:
+    def first_positions(self, key: int, count: int) -> list[int]:
         """The positions of the first `count` servers of a key's order."""
-        k = mix(key)
-        low, odd = k & HASH, k >> 34 | 1
-        most = (count + MORE) * HASH / self._near
-        distance = [((h ^ low) * odd & HASH) * inverse for h, inverse in self._servers]
-        near = [i for i, d in enumerate(distance) if d < most]
-        if len(near) < min(count, len(distance)):
-            near = list(range(len(distance)))
-        near.sort(key=distance.__getitem__)
-        return near[:count]
+        key_hash = splitmix64(key)
+        offset, multiplier = key_hash & HASH_MASK, key_hash >> 34 | 1
+        max_distance = (count + EXTRA_CANDIDATES) * HASH_MASK / self._total_weight
+        distance = [((h ^ offset) * multiplier & HASH_MASK) * inverse for h, inverse in self._servers]
+        nearest = [i for i, d in enumerate(distance) if d < max_distance]
+        if len(nearest) < min(count, len(distance)):
+            nearest = list(range(len(distance)))
+        nearest.sort(key=distance.__getitem__)
+        return nearest[:count]
--- a/roadlb/routing/key_sets.py
+++ b/roadlb/routing/key_sets.py
@@ -18,11 +18,11 @@
 from collections.abc import Callable, Sequence
 from typing import Generic, Protocol, TypeVar
 
-LOW, HIGH = 1.1, 1.5  # T_low and T_high, as multiples of the fleet's mean load ...
-FLOOR = 0.4  # ... plus this many requests, below which a count says nothing
-CROWD = 2.0  # requests waiting, beyond HIGH times the mean, that make a server crowded
-RECENT_US = 10_000_000  # so old a report counts in that mean: who is asked seldom is in it too
-ORDER, ORDER_MOST = 8, 64  # servers kept of a key's order, and for a set that has them all
+LOW_FACTOR, HIGH_FACTOR = 1.1, 1.5  # T_low and T_high, as multiples of the fleet's mean load ...
+MARGIN_REQUESTS = 0.4  # ... plus this many requests, below which a count says nothing
+CROWDED_REQUESTS = 2.0  # requests waiting, beyond HIGH times the mean, that make a server crowded
+MAX_REPORT_AGE_US = 10_000_000  # so old a report counts in that mean: who is asked seldom is in it too
+INITIAL_CANDIDATES, MAX_CANDIDATES = 8, 64  # servers kept of a key's order, and for a set that has them all
 MAX_SETS, SHRINK_US = 4_096, 5_000_000  # the longest unused goes; one that has not grown lately shrinks
 
 
@@ -43,26 +43,31 @@
 class KeySet(Generic[S]):
     """The servers that a key's requests go to, and the start of the key's rendezvous order."""
 
-    __slots__ = ("grown", "members", "order", "version")  # mypyc compiles no generic dataclass with slots
+    __slots__ = (
+        "candidates",
+        "grown_at",
+        "members",
+        "version",
+    )  # mypyc compiles no generic dataclass with slots
 
     def __init__(self) -> None:
         self.members: list[S] = []
-        self.order: list[S] = []
+        self.candidates: list[S] = []
         self.version = -1  # of the server list that `order` was made from
-        self.grown = 0
+        self.grown_at = 0
 
     def join(self, now: int, server: S | None) -> None:
         if server is not None and server not in self.members:
             self.members.append(server)
-            self.grown = now
+            self.grown_at = now
 
 
 class KeySets(Generic[S]):
     """One balancer's, by key.  `order(key, count)`: the first of a key's servers in their order."""
 
-    def __init__(self, order: Callable[[int, int], list[S]]) -> None:
-        self._order, self._sets = order, dict[int, KeySet[S]]()
-        self.waiting = 0.0  # what a server reports to be waiting, for its size, on the mean
+    def __init__(self, find_candidates: Callable[[int, int], list[S]]) -> None:
+        self._find_candidates, self._sets = find_candidates, dict[int, KeySet[S]]()
+        self.mean_waiting = 0.0  # what a server reports to be waiting, for its size, on the mean
 
     def __len__(self) -> int:
         return len(self._sets)
@@ -73,56 +78,62 @@
     def __getitem__(self, key: int) -> KeySet[S]:
         return self._sets[key]
 
-    def use(self, key: int, version: int) -> KeySet[S]:
+    def get_or_create(self, key: int, version: int) -> KeySet[S]:
         """The key's set, now the last in the table to go, without servers that have left by this version."""
-        found = self._sets.pop(key, None)
-        if found is None:
+        key_set = self._sets.pop(key, None)
+        if key_set is None:
             if len(self._sets) >= MAX_SETS:
                 del self._sets[next(iter(self._sets))]
-            found = KeySet()
-        self._sets[key] = found
-        if found.version != version:
-            found.members = [s for s in found.members if s.up]
-            found.order = self._order(key, min(ORDER_MOST, max(ORDER, len(found.members))))
-            found.version = version
-        return found
-
-    def low(self, server: S, mean: float) -> float:
+            key_set = KeySet()
+        self._sets[key] = key_set
+        if key_set.version != version:
+            key_set.members = [s for s in key_set.members if s.up]
+            key_set.candidates = self._find_candidates(
+                key, min(MAX_CANDIDATES, max(INITIAL_CANDIDATES, len(key_set.members)))
+            )
+            key_set.version = version
+        return key_set
+
+    def low_mark(self, server: S, mean: float) -> float:
         """T_low of a server, where the fleet's mean load is this."""
-        return LOW * mean + FLOOR * server.inverse / 2
+        return LOW_FACTOR * mean + MARGIN_REQUESTS * server.inverse / 2
 
-    def suffices(self, now: int, aim_us: int, best: S, mean: float, found: KeySet[S]) -> bool:
+    def suffices(self, now: int, aim_us: int, best: S, mean: float, key_set: KeySet[S]) -> bool:
         """Does the best member take the request with no look at others?  A set that is too large shrinks."""
         load = best.load(now, aim_us)
-        if load > HIGH * mean + FLOOR * best.inverse or self.crowded(now, aim_us, best):
+        if load > HIGH_FACTOR * mean + MARGIN_REQUESTS * best.inverse or self.is_crowded(now, aim_us, best):
             return False
-        if len(found.members) > 1 and now - found.grown > SHRINK_US:
-            found.grown = now
-            if load < self.low(best, mean):
-                found.members.pop()
+        if len(key_set.members) > 1 and now - key_set.grown_at > SHRINK_US:
+            key_set.grown_at = now
+            if load < self.low_mark(best, mean):
+                key_set.members.pop()
         return True
 
-    def crowded(self, now: int, aim_us: int, server: S) -> bool:
+    def is_crowded(self, now: int, aim_us: int, server: S) -> bool:
         """Does it report clearly more waiting than others do?"""
-        return server.waiting(now, aim_us) > HIGH * self.waiting + CROWD * server.inverse
+        return (
+            server.waiting(now, aim_us) > HIGH_FACTOR * self.mean_waiting + CROWDED_REQUESTS * server.inverse
+        )
 
-    def more(self, key: int, found: KeySet[S]) -> Sequence[S]:
+    def more_candidates(self, key: int, key_set: KeySet[S]) -> Sequence[S]:
         """Those of the key's order that may join."""
-        if len(found.members) >= len(found.order) < ORDER_MOST:
-            found.order = self._order(key, 2 * len(found.order))
-        return found.order
+        if len(key_set.members) >= len(key_set.candidates) < MAX_CANDIDATES:
+            key_set.candidates = self._find_candidates(key, 2 * len(key_set.candidates))
+        return key_set.candidates
 
-    def relieves(self, now: int, aim_us: int, other: S | None, best: S, mean: float) -> bool:
+    def should_join(self, now: int, aim_us: int, other: S | None, best: S, mean: float) -> bool:
         """Is the other so much better off than the best member that it joins?"""
         if other is None:
             return False
-        if self.crowded(now, aim_us, best) and 2 * other.waiting(now, aim_us) < best.waiting(now, aim_us):
+        if self.is_crowded(now, aim_us, best) and 2 * other.waiting(now, aim_us) < best.waiting(now, aim_us):
             return True
-        load, least = best.load(now, aim_us), other.load(now, aim_us)
-        high = HIGH * mean + FLOOR * best.inverse
-        return load > high and (least <= self.low(other, mean) or load >= max(2 * high, least))
+        load, other_load = best.load(now, aim_us), other.load(now, aim_us)
+        high_mark = HIGH_FACTOR * mean + MARGIN_REQUESTS * best.inverse
+        return load > high_mark and (
+            other_load <= self.low_mark(other, mean) or load >= max(2 * high_mark, other_load)
+        )
 
-    def told(self, waiting: Sequence[float]) -> None:
+    def update_reports(self, waiting: Sequence[float]) -> None:
         """Once a second: what each server reported last, for its size, if that is not older than
         RECENT_US."""
-        self.waiting = sum(waiting) / len(waiting) if waiting else 0.0
+        self.mean_waiting = sum(waiting) / len(waiting) if waiting else 0.0
--- a/roadlb/routing/shares.py
+++ b/roadlb/routing/shares.py
@@ -4,21 +4,21 @@
 
 from collections.abc import Mapping
 
-LEAST = 1e-9  # of a share: one of nothing is as good as none
-SAVED_S = 1.0  # what a rate makes is saved for so long, but one at least
-MOST_HALLS = 256
+MIN_SHARE = 1e-9  # of a share: one of nothing is as good as none
+BURST_S = 1.0  # what a rate makes is saved for so long, but one at least
+MAX_ZONES = 256
 
 
-class Tokens:
+class TokenBucket:
     """What a balancer's share of a rate has made and it has not spent."""
 
-    __slots__ = ("at", "left")
+    __slots__ = ("tokens", "updated_at")
 
-    def __init__(self, at: int) -> None:
-        self.at, self.left = at, 1.0
+    def __init__(self, updated_at: int) -> None:
+        self.updated_at, self.tokens = updated_at, 1.0
 
 
-class Shares:
+class BudgetShares:
     """One balancer's parts of the whole.
 
     All together spend of a rate, within any time, at most what it makes in it, SAVED_S of it, and one for
@@ -26,164 +26,185 @@
     """
 
     __slots__ = (
-        "_cold",
-        "_dialled",
-        "_dials",
-        "_floor",
-        "_instances",
-        "_lean",
-        "_pressure",
-        "_quotas",
-        "_repeated",
-        "_repeats",
-        "_stale",
-        "_told",
-        "_twins",
-        "_until",
-        "_wholes",
-        "alike",
-        "bounded",
-        "dials_held",
+        "_configured_count",
+        "_dial_buckets",
+        "_dial_shares",
+        "_fallback_share",
+        "_fleet_shortage",
+        "_fleet_shortage_until",
+        "_fleet_shortage_weight",
+        "_lease_end_us",
+        "_processes_per_balancer",
+        "_quota_factors",
+        "_quota_shares",
+        "_reported_count",
+        "_retry_bucket",
+        "_retry_share",
+        "_slow_start_shares",
+        "balancer_count",
         "dials_per_s",
-        "parts",
-        "repeats_held",
-        "repeats_per_s",
-        "rest",
+        "is_limited",
+        "max_unlisted_share",
+        "process_count",
+        "rejected_dials",
+        "rejected_retries",
+        "retries_per_s",
     )
 
-    def __init__(self, instances: int) -> None:
-        self._instances, self._twins, self._told = instances, 1, 0
-        self.parts, self.alike = instances, instances  # so many processes; of them, so many see the same
-        self._cold: Mapping[bytes, float] = {}
-        self._quotas: Mapping[int, float] = {}
-        self._wholes: Mapping[int, float] = {}
-        self._until, self._floor = 0, 1.0  # after it, no more than this share of any
-        self.rest = 1.0  # of a cold server not told of, no more than this
-        self._pressure: float | None = None  # the shortage that all see, if that is known
-        self._lean, self._stale = 1.0, 0  # its part beside the own; until when it counts
-
-        self.repeats_per_s, self.dials_per_s = 0.0, 0.0  # of all together; 0: no bound
-        self.bounded = False  # by either
-        self._repeats: float | None = None
-        self._dials: Mapping[int, float] = {}
-        self._repeated, self._dialled = Tokens(0), dict[int, Tokens]()
-        self.repeats_held, self.dials_held = 0, dict[int, int]()  # how often there was none left
-
-    def twins(self, now: int, count: int) -> None:
+    def __init__(self, configured_count: int) -> None:
+        self._configured_count, self._processes_per_balancer, self._reported_count = configured_count, 1, 0
+        self.process_count, self.balancer_count = (
+            configured_count,
+            configured_count,
+        )  # so many processes; of them, so many see the same
+        self._slow_start_shares: Mapping[bytes, float] = {}
+        self._quota_shares: Mapping[int, float] = {}
+        self._quota_factors: Mapping[int, float] = {}
+        self._lease_end_us, self._fallback_share = 0, 1.0  # after it, no more than this share of any
+        self.max_unlisted_share = 1.0  # of a cold server not told of, no more than this
+        self._fleet_shortage: float | None = None  # the shortage that all see, if that is known
+        self._fleet_shortage_weight, self._fleet_shortage_until = (
+            1.0,
+            0,
+        )  # its part beside the own; until when it counts
+
+        self.retries_per_s, self.dials_per_s = 0.0, 0.0  # of all together; 0: no bound
+        self.is_limited = False  # by either
+        self._retry_share: float | None = None
+        self._dial_shares: Mapping[int, float] = {}
+        self._retry_bucket, self._dial_buckets = TokenBucket(0), dict[int, TokenBucket]()
+        self.rejected_retries, self.rejected_dials = 0, dict[int, int]()  # how often there was none left
+
+    def set_process_count(self, now: int, count: int) -> None:
         """So many processes are this one instance."""
-        self._settle(now)
-        self._twins = max(1, count)
-        self.parts = self._told or self._instances * self._twins
+        self._refill_all(now)
+        self._processes_per_balancer = max(1, count)
+        self.process_count = self._reported_count or self._configured_count * self._processes_per_balancer
 
-    def told(
+    def update(
         self,
         now: int,
-        parts: int,
-        cold: Mapping[bytes, float],
-        quotas: Mapping[int, float],
-        pressure: float | None,
-        until: int,
-        floor: float,
-        wholes: Mapping[int, float],
-        lean: float = 1.0,
-        stale: int = 0,
+        process_count: int,
+        slow_start_shares: Mapping[bytes, float],
+        quota_shares: Mapping[int, float],
+        fleet_shortage: float | None,
+        lease_end_us: int,
+        fallback_share: float,
+        quota_factors: Mapping[int, float],
+        fleet_shortage_weight: float = 1.0,
+        fleet_shortage_until: int = 0,
     ) -> None:
         """`roadlb.policy.interface.Heard` has what each means."""
-        self._settle(now)
-        self._told, self.alike = parts, parts or self._instances
-        self.parts = parts or self._instances * self._twins
-        self._cold, self._quotas = cold, quotas
-        self._pressure, self._lean, self._stale = pressure, min(1.0, max(0.0, lean)), stale
-        self._until, self._floor, self._wholes = until, floor, wholes
-
-    def of_cold(self, now: int, server: bytes) -> float:
+        self._refill_all(now)
+        self._reported_count, self.balancer_count = process_count, process_count or self._configured_count
+        self.process_count = process_count or self._configured_count * self._processes_per_balancer
+        self._slow_start_shares, self._quota_shares = slow_start_shares, quota_shares
+        self._fleet_shortage, self._fleet_shortage_weight, self._fleet_shortage_until = (
+            fleet_shortage,
+            min(1.0, max(0.0, fleet_shortage_weight)),
+            fleet_shortage_until,
+        )
+        self._lease_end_us, self._fallback_share, self._quota_factors = (
+            lease_end_us,
+            fallback_share,
+            quota_factors,
+        )
+
+    def slow_start_divisor(self, now: int, server: bytes) -> float:
         """Among how many a cold server's budget is divided, in our share's terms: 1 / share."""
-        if server not in self._cold:
-            return max(self.parts, 1 / self.rest)
-        return self._among(now, self._cold.get(server))
+        if server not in self._slow_start_shares:
+            return max(self.process_count, 1 / self.max_unlisted_share)
+        return self._divisor(now, self._slow_start_shares.get(server))
 
-    def of_quota(self, now: int, tenant: int) -> float:
+    def quota_divisor(self, now: int, tenant: int) -> float:
         """The same for a customer's quota, as the settings have it."""
-        among, whole = self._among(now, self._quotas.get(tenant)), self._wholes.get(tenant)
-        return among if whole is None else among / max(whole, LEAST)
+        divisor, factor = self._divisor(now, self._quota_shares.get(tenant)), self._quota_factors.get(tenant)
+        return divisor if factor is None else divisor / max(factor, MIN_SHARE)
 
-    def _among(self, now: int, share: float | None) -> float:
+    def _divisor(self, now: int, share: float | None) -> float:
         if share is None:
-            return self.parts
-        if self._until and now >= self._until:
-            share = min(share, self._floor)
-        return 1 / max(share, LEAST)
+            return self.process_count
+        if self._lease_end_us and now >= self._lease_end_us:
+            share = min(share, self._fallback_share)
+        return 1 / max(share, MIN_SHARE)
 
-    def shortage(self, now: int, alone: float) -> float:
+    def shortage(self, now: int, local_shortage: float) -> float:
         """The share of the demand that there is no room for, where this balancer sees `alone`."""
-        if self._pressure is None or self._stale and now >= self._stale:
-            return alone
-        return alone + self._lean * (self._pressure - alone)
+        if self._fleet_shortage is None or self._fleet_shortage_until and now >= self._fleet_shortage_until:
+            return local_shortage
+        return local_shortage + self._fleet_shortage_weight * (self._fleet_shortage - local_shortage)
 
     # Rates
 
-    def bound(
+    def set_rate_limits(
         self,
         now: int,
-        rest: float,
-        repeats_per_s: float,
-        repeats: float | None,
+        max_unlisted_share: float,
+        retries_per_s: float,
+        retry_share: float | None,
         dials_per_s: float,
-        dials: Mapping[int, float],
+        dial_shares: Mapping[int, float],
     ) -> None:
         """The rest of `Heard`, told after the other figures."""
-        if not self.repeats_per_s:
-            self._repeated = Tokens(now)
-        self.rest, self.bounded = rest, repeats_per_s > 0 or dials_per_s > 0
-        self.repeats_per_s, self._repeats = repeats_per_s, repeats
-        self.dials_per_s, self._dials = dials_per_s, dials
-        self._settle(now)  # a share that shrank has less saved
-
-    def may_repeat(self, now: int) -> bool:
+        if not self.retries_per_s:
+            self._retry_bucket = TokenBucket(now)
+        self.max_unlisted_share, self.is_limited = (
+            max_unlisted_share,
+            retries_per_s > 0 or dials_per_s > 0,
+        )
+        self.retries_per_s, self._retry_share = retries_per_s, retry_share
+        self.dials_per_s, self._dial_shares = dials_per_s, dial_shares
+        self._refill_all(now)  # a share that shrank has less saved
+
+    def may_retry(self, now: int) -> bool:
         """May one more attempt be made for a request that has had one?"""
-        if not self.repeats_per_s:
+        if not self.retries_per_s:
             return True
-        self._fill(now, self._repeated, self.repeats_per_s, self._repeats)
-        if self._repeated.left >= 1.0:
+        self._refill(now, self._retry_bucket, self.retries_per_s, self._retry_share)
+        if self._retry_bucket.tokens >= 1.0:
             return True
-        self.repeats_held += 1
+        self.rejected_retries += 1
         return False
 
-    def may_dial(self, now: int, hall: int) -> bool:
+    def may_dial(self, now: int, zone: int) -> bool:
         """May a request go to a hall that is away, by its number?"""
         if not self.dials_per_s:
             return True
-        tokens = self._dialled.get(hall)
-        if tokens is None:
-            if len(self._dialled) >= MOST_HALLS:
+        bucket = self._dial_buckets.get(zone)
+        if bucket is None:
+            if len(self._dial_buckets) >= MAX_ZONES:
                 return False
-            tokens = self._dialled[hall] = Tokens(now)
-        self._fill(now, tokens, self.dials_per_s, self._dials.get(hall))
-        if tokens.left >= 1.0:
+            bucket = self._dial_buckets[zone] = TokenBucket(now)
+        self._refill(now, bucket, self.dials_per_s, self._dial_shares.get(zone))
+        if bucket.tokens >= 1.0:
             return True
-        self.dials_held[hall] = self.dials_held.get(hall, 0) + 1
+        self.rejected_dials[zone] = self.rejected_dials.get(zone, 0) + 1
         return False
 
-    def sent(self, now: int, hall: int, away: bool, again: bool) -> None:
+    def record_attempt(self, now: int, zone: int, is_away: bool, is_retry: bool) -> None:
         """An attempt has begun: is its hall away, has its request had one before?"""
-        if again and self.repeats_per_s:
-            self._fill(now, self._repeated, self.repeats_per_s, self._repeats)
-            self._repeated.left -= 1.0
-        if away and hall in self._dialled:
-            self._dialled[hall].left -= 1.0
+        if is_retry and self.retries_per_s:
+            self._refill(now, self._retry_bucket, self.retries_per_s, self._retry_share)
+            self._retry_bucket.tokens -= 1.0
+        if is_away and zone in self._dial_buckets:
+            self._dial_buckets[zone].tokens -= 1.0
 
-    def _settle(self, now: int) -> None:
+    def _refill_all(self, now: int) -> None:
         """What was made until now was made by the shares that hold now."""
-        if self.repeats_per_s:
-            self._fill(now, self._repeated, self.repeats_per_s, self._repeats)
-        for hall, tokens in self._dialled.items():
-            self._fill(now, tokens, self.dials_per_s, self._dials.get(hall))
+        if self.retries_per_s:
+            self._refill(now, self._retry_bucket, self.retries_per_s, self._retry_share)
+        for zone, bucket in self._dial_buckets.items():
+            self._refill(now, bucket, self.dials_per_s, self._dial_shares.get(zone))
 
-    def _fill(self, now: int, tokens: Tokens, per_s: float, share: float | None) -> None:
-        held, end = 1.0 / self.parts, now
+    def _refill(self, now: int, bucket: TokenBucket, rate_per_s: float, share: float | None) -> None:
+        leased_share, lease_end_us = 1.0 / self.process_count, now
         if share is not None:
-            held, end = share, self._until or now
-        last = 1.0 / self._among(now, share)
-        made = held * max(0, min(now, end) - tokens.at) + last * max(0, now - max(tokens.at, end))
-        tokens.left = min(max(1.0, per_s * last * SAVED_S), tokens.left + per_s * made / 1e6)
-        tokens.at = max(tokens.at, now)
+            leased_share, lease_end_us = share, self._lease_end_us or now
+        final_share = 1.0 / self._divisor(now, share)
+        share_time_us = leased_share * max(0, min(now, lease_end_us) - bucket.updated_at) + final_share * max(
+            0, now - max(bucket.updated_at, lease_end_us)
+        )
+        bucket.tokens = min(
+            max(1.0, rate_per_s * final_share * BURST_S), bucket.tokens + rate_per_s * share_time_us / 1e6
+        )
+        bucket.updated_at = max(bucket.updated_at, now)
--- a/tests/policy/test_changed.py
+++ b/tests/policy/test_changed.py
@@ -279,7 +279,7 @@
     change(node, cold_from=0.1, cold_us=40 * SECOND)
     assert all(s.share < share for s, share in zip(node.b.list.ready, before, strict=True))
     node.end(sent.server)
-    assert node.b.slow_start.pace._held == 0
+    assert node.b.slow_start.pace._capacity_in_use == 0
     change(node, cold_us=0)
     assert [s.share for s in node.b.list.ready] == [1.0, 1.0]
 
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -218,7 +218,7 @@
             if isinstance(action, Send):
                 node.end(action.server, Status.ERROR)
         node.now += 1_000
-    assert 0 < sum(s.eject_until > 0 for s in node.b.list.ready) <= 3
+    assert 0 < sum(s.ejected_until > 0 for s in node.b.list.ready) <= 3
 
 
 def test_spoilt_answers_at_all_servers_alike_leave_orders_their_servers() -> None:
@@ -233,7 +233,7 @@
             (answer,) = node.end(send.server, AttemptOutcome.GARBLED.status)
             assert isinstance(answer, Fail)  # it may have run
         node.now += 10_000
-    assert not any(s.eject_until for s in node.b.list.ready)
+    assert not any(s.ejected_until for s in node.b.list.ready)
 
 
 def test_a_server_that_spoils_every_answer_is_left_out() -> None:
@@ -476,7 +476,7 @@
     home = node.b.list.servers[node.serve(7)]
     for s in node.b.list.ready:
         s.out, s.mean, s.at = (20, 20.0, node.now) if s is home else (10, 10.0, node.now)
-        s.since = node.now
+        s.oldest_sent_at = node.now
     node.b.fleet.out, node.b.fleet.mean, node.b.fleet.at = 50, 50.0, node.now
     assert node.sent(7) != home.id
     assert len(node.b.sets[7].members) == 2
@@ -565,7 +565,7 @@
     bad = node.sent()
     node.end(bad, Status.RESET)
     assert all(node.serve() != bad for _ in range(10))
-    node.b.list.servers[bad].failing *= 0.8**4  # as four good answers to reads leave it
+    node.b.list.servers[bad].failure_rate *= 0.8**4  # as four good answers to reads leave it
     assert node.b.list.servers[bad].suspect_until > node.now
     assert any(node.serve() == bad for _ in range(10))
 
--- a/tests/policy/test_heard.py
+++ b/tests/policy/test_heard.py
@@ -23,8 +23,8 @@
     TimerFired,
     View,
 )
-from roadlb.routing.shares import Shares
-from roadlb.routing.standing import EJECT_SHARE, Standing, Standings
+from roadlb.routing.shares import BudgetShares
+from roadlb.routing.health import MAX_EJECTED_SHARE, HealthTracker, ServerHealth
 
 SECOND = 1_000_000
 SERVERS = [bytes([n]) for n in range(10)]
@@ -80,7 +80,7 @@
     fed = Fed()
     until = fed.now + 20 * SECOND
     fed.do(Heard(avoid={s: until for s in [b"unknown", *SERVERS[:6]]}))
-    most = int(EJECT_SHARE * len(SERVERS))
+    most = int(MAX_EJECTED_SHARE * len(SERVERS))
     assert sum(s.ejected for s in fed.view().servers) == most
     assert not set(SERVERS[:most]) & set(fed.went(100))
     fed.now = until + 1
@@ -90,28 +90,32 @@
 
 
 def test_an_own_good_answer_counts_more_than_the_same_word_told_again() -> None:
-    standings, s = Standings(lambda: 0.5), Standing()
-    standings.avoid(s, 100, servers=10)
-    standings.good(s)
-    standings.avoid(s, 100, servers=10)
-    assert s.eject_until == 0 and standings.ejected == 0
-    standings.avoid(s, 101, servers=10)
-    assert s.eject_until == 101 and standings.ejected == 1
+    standings, s = HealthTracker(lambda: 0.5), ServerHealth()
+    standings.apply_peer_report(s, 100, server_count=10)
+    standings.record_success(s)
+    standings.apply_peer_report(s, 100, server_count=10)
+    assert s.ejected_until == 0 and standings.ejected_count == 0
+    standings.apply_peer_report(s, 101, server_count=10)
+    assert s.ejected_until == 101 and standings.ejected_count == 1
 
 
 def test_shares_told_stand_for_those_of_an_even_division() -> None:
-    shares = Shares(8)
-    assert (shares.parts, shares.of_cold(0, b"a"), shares.of_quota(0, 0)) == (8, 8, 8)
-    shares.twins(0, 2)
-    assert (shares.parts, shares.alike) == (16, 8)
-    shares.told(0, 5, {b"a": 0.5, b"b": 0.0}, {1: 0.1}, None, 0, 1.0, {})
-    assert (shares.parts, shares.alike) == (5, 5)
-    assert shares.of_cold(0, b"a") == 2 and shares.of_cold(0, b"b") > 1e6 and shares.of_cold(0, b"c") == 5
-    assert round(shares.of_quota(0, 1)) == 10 and shares.of_quota(0, 0) == 5
-    shares.twins(0, 3)  # what all may do is divided among processes, as they were told
-    assert shares.parts == 5
-    shares.told(0, 0, {}, {}, None, 0, 1.0, {})
-    assert (shares.parts, shares.alike) == (24, 8)
+    shares = BudgetShares(8)
+    assert (shares.process_count, shares.slow_start_divisor(0, b"a"), shares.quota_divisor(0, 0)) == (8, 8, 8)
+    shares.set_process_count(0, 2)
+    assert (shares.process_count, shares.balancer_count) == (16, 8)
+    shares.update(0, 5, {b"a": 0.5, b"b": 0.0}, {1: 0.1}, None, 0, 1.0, {})
+    assert (shares.process_count, shares.balancer_count) == (5, 5)
+    assert (
+        shares.slow_start_divisor(0, b"a") == 2
+        and shares.slow_start_divisor(0, b"b") > 1e6
+        and shares.slow_start_divisor(0, b"c") == 5
+    )
+    assert round(shares.quota_divisor(0, 1)) == 10 and shares.quota_divisor(0, 0) == 5
+    shares.set_process_count(0, 3)  # what all may do is divided among processes, as they were told
+    assert shares.process_count == 5
+    shares.update(0, 0, {}, {}, None, 0, 1.0, {})
+    assert (shares.process_count, shares.balancer_count) == (24, 8)
 
 
 def test_a_cold_server_gets_no_more_than_the_share_that_was_told() -> None:
@@ -153,9 +157,9 @@
 
 
 def test_the_shortage_that_all_see_counts_beside_the_own_by_its_part_and_while_it_is_fresh() -> None:
-    shares = Shares(4)
+    shares = BudgetShares(4)
     assert shares.shortage(0, 0.2) == 0.2
-    shares.told(0, 0, {}, {}, 0.6, 0, 1.0, {}, lean=0.25, stale=SECOND)
+    shares.update(0, 0, {}, {}, 0.6, 0, 1.0, {}, fleet_shortage_weight=0.25, fleet_shortage_until=SECOND)
     assert round(shares.shortage(0, 0.2), 6) == 0.3 and round(shares.shortage(0, 1.0), 6) == 0.9
     assert shares.shortage(SECOND, 0.2) == 0.2
     fed = Fed()
@@ -165,11 +169,11 @@
 
 def test_what_ends_at_a_server_that_left_the_list_takes_no_part_of_the_ejected_share() -> None:
     # Each node of a deploy that fell silent before it left took one for good, until none could be ejected.
-    standings = Standings(lambda: 0.5)
+    standings = HealthTracker(lambda: 0.5)
     for ejected_before in (False, True):
-        s = Standing()
+        s = ServerHealth()
         for n in range(10):
             if n == (9 if ejected_before else 1):
-                standings.gone(s)
-            standings.failed(n, s, spoilt=False, servers=10)
-        assert standings.ejected == 0
+                standings.remove(s)
+            standings.record_failure(n, s, spoilt=False, server_count=10)
+        assert standings.ejected_count == 0
--- a/tests/shared_state/test_bounds.py
+++ b/tests/shared_state/test_bounds.py
@@ -6,7 +6,7 @@
 
 from roadlb.lab.model.told_fleet import ERROR_US, SECOND, Air, ToldFleet
 from roadlb.policy.interface import Action, Outcome, Send, Status
-from roadlb.routing.shares import SAVED_S, Shares
+from roadlb.routing.shares import BURST_S, BudgetShares
 from roadlb.shared_state.budgets import Terms
 from roadlb.shared_state.events import Beside
 from roadlb.shared_state.told import Bounds, Hear, There, Told
@@ -50,7 +50,7 @@
 
 def above(times: list[int], rate: float) -> float:
     """By how many, at the most, the count of any time exceeds what is said of it."""
-    said = rate * SAVED_S + MEMBERS
+    said = rate * BURST_S + MEMBERS
     return max(
         (
             n + 1 - k - rate * (times[n] - times[k]) / SECOND - said
@@ -110,12 +110,12 @@
 
 
 def test_what_a_lapsed_share_makes_is_the_floor_s_though_it_was_asked_later() -> None:
-    shares = Shares(4)
-    shares.told(0, 0, {}, {}, None, SECOND, 0.125, {})
-    shares.bound(0, 1.0, 8.0, 0.5, 0.0, {})
+    shares = BudgetShares(4)
+    shares.update(0, 0, {}, {}, None, SECOND, 0.125, {})
+    shares.set_rate_limits(0, 1.0, 8.0, 0.5, 0.0, {})
     for _ in range(2):  # a second of four, then two of one each; saved for one at most
-        assert shares.may_repeat(3 * SECOND)
-        shares.sent(3 * SECOND, 0, False, again=True)
-        if not shares.may_repeat(3 * SECOND):
+        assert shares.may_retry(3 * SECOND)
+        shares.record_attempt(3 * SECOND, 0, False, is_retry=True)
+        if not shares.may_retry(3 * SECOND):
             break
-    assert not shares.may_repeat(3 * SECOND) and shares.may_repeat(4 * SECOND) and shares.repeats_held > 0
+    assert not shares.may_retry(3 * SECOND) and shares.may_retry(4 * SECOND) and shares.rejected_retries > 0
--- a/tests/shared_state/test_merged.py
+++ b/tests/shared_state/test_merged.py
@@ -8,7 +8,7 @@
 from pytest import approx
 
 from roadlb.policy.interface import Heard, View
-from roadlb.routing.shares import Shares
+from roadlb.routing.shares import BudgetShares
 from roadlb.shared_state.budgets import Terms
 from roadlb.shared_state.events import Agreed, Beside
 from roadlb.shared_state.merged import Event, FromShares, FromVersions, Merged
@@ -37,9 +37,9 @@
 
 def quota(heard: Heard, now: int = 0) -> float:
     """Of the settings' quota, what this balancer serves as within it."""
-    shares = Shares(N)
-    shares.told(0, heard.parts, heard.cold, heard.quotas, None, heard.until, heard.floor, heard.wholes)
-    return 1 / shares.of_quota(now, 0)
+    shares = BudgetShares(N)
+    shares.update(0, heard.parts, heard.cold, heard.quotas, None, heard.until, heard.floor, heard.wholes)
+    return 1 / shares.quota_divisor(now, 0)
 
 
 def test_the_last_word_of_each_holds_in_every_order() -> None:
--- a/tests/shared_state/test_told.py
+++ b/tests/shared_state/test_told.py
@@ -10,7 +10,7 @@
 from roadlb.cli.peers import shared_tables
 from roadlb.lab.model.told_fleet import ORDER, SECOND, Air, ToldFleet
 from roadlb.policy.interface import ListKind, ListUpdate, Member, ServerView, Tenant, View
-from roadlb.routing.shares import Shares
+from roadlb.routing.shares import BudgetShares
 from roadlb.shared_state.budgets import Terms
 from roadlb.shared_state.events import Answer, Ask, Beside, Budget, key
 from roadlb.shared_state.judgements import Evidence
@@ -90,9 +90,9 @@
     assert isinstance(hear, Hear) and len(asks) == 3
     heard = hear.event
     assert heard.quotas[0] > 0.6 and heard.until == START + TERMS.lease_us
-    shares = Shares(4)
-    shares.told(0, 0, heard.cold, heard.quotas, None, heard.until, heard.floor, heard.wholes)
-    assert shares.of_quota(heard.until - 1, 0) == 1.6 and shares.of_quota(heard.until, 0) == 8
+    shares = BudgetShares(4)
+    shares.update(0, 0, heard.cold, heard.quotas, None, heard.until, heard.floor, heard.wholes)
+    assert shares.quota_divisor(heard.until - 1, 0) == 1.6 and shares.quota_divisor(heard.until, 0) == 8
 
 
 def test_nothing_is_given_of_a_cold_server_that_the_module_may_still_use_wholly() -> None:
@@ -116,9 +116,9 @@
     early = Told(0, "a", 2, "hall", TERMS).handle(1, Beside(1))[0]
     assert isinstance(early, Hear)
     for rest, among in ((early.event.rest, 8), (hear.event.rest, 4)):
-        shares = Shares(4)
-        shares.rest = rest
-        assert shares.of_cold(0, b"unheard of") == among
+        shares = BudgetShares(4)
+        shares.max_unlisted_share = rest
+        assert shares.slow_start_divisor(0, b"unheard of") == among
 
 
 def test_beside_a_twin_half_of_what_is_never_given() -> None:
