--- a/roadlb/policy/logic.py
+++ b/roadlb/policy/logic.py
@@ -230,7 +230,7 @@
         if status in (Status.FULL, Status.CONNECT_FAILED):
             self.standings.record_full(now, s, cls.latency)
         if status in FAILED:
-            self.standings.record_failure(now, s, status is Status.SPOILT, len(self.list.ready))
+            self.standings.record_failed_attempt(now, s, status is Status.SPOILT, len(self.list.ready))
             # One that had less than the usual time left says nothing of the site: it may have been under way.
             short = status is Status.TIMEOUT and latency < cls.tail
             if status is not Status.SPOILT and not short and self.sites.missed(now, s.zone, s.id, r.order):
--- a/roadlb/routing/health.py
+++ b/roadlb/routing/health.py
@@ -118,7 +118,7 @@
         wait = min(MAX_FULL_US, usual_us * 2 ** min(server.full_count, 9))
         server.full_until, server.full_count = now + int(wait * (0.5 + self._draw())), server.full_count + 1
 
-    def record_failure(self, now: int, server: ServerHealth, spoilt: bool, server_count: int) -> None:
+    def record_failed_attempt(self, now: int, server: ServerHealth, spoilt: bool, server_count: int) -> None:
         """No answer, or none that could be used; so many servers are up."""
         server.failure_rate += (1 - server.failure_rate) * (SPOILT_WEIGHT if spoilt else FAILURE_WEIGHT)
         if not spoilt:
--- a/tests/policy/slow_start_fleet.py
+++ b/tests/policy/slow_start_fleet.py
@@ -31,11 +31,11 @@
     RequestClass("order", 700_000, 2 * SECOND, 10.0, effect=Effect.UNSAFE),
     RequestClass("keyed", 600_000, 2 * SECOND, 4.0, effect=Effect.KEYED, window_us=5 * SECOND),
 )
-PARTS = (0.7, 0.15, 0.15)  # of the requests
-WORK_US = (15_000, 60_000, 40_000)  # on average
-MEAN_US = sum(part * work for part, work in zip(PARTS, WORK_US, strict=True))
-REFUSES_FROM = 40  # a server with so many requests waiting has no room
-ANSWERED_US = 1_000  # on the way there and back
+CLASS_SHARES = (0.7, 0.15, 0.15)  # of the requests
+CLASS_WORK_US = (15_000, 60_000, 40_000)  # on average
+MEAN_WORK_US = sum(part * work for part, work in zip(CLASS_SHARES, CLASS_WORK_US, strict=True))
+MAX_WAITING = 40  # a server with so many requests waiting has no room
+ROUND_TRIP_US = 1_000  # on the way there and back
 
 
 @dataclass
@@ -44,22 +44,22 @@
 
     id: bytes
     zone: int
-    per_s: float  # requests of mean work that it can do when warm
-    born: int = 0
-    up: bool = True
-    reachable: bool = True
-    free_at: int = 0
-    waiting: list[int] = field(default_factory=list)  # when each will be done
+    requests_per_s: float  # requests of mean work that it can do when warm
+    started_at: int = 0
+    is_listed_ready: bool = True
+    is_reachable: bool = True
+    idle_from: int = 0
+    finish_times: list[int] = field(default_factory=list)  # when each will be done
     # Since its start: when, how many requests of mean work, by one that had been told of the start?
     sent: list[tuple[int, float, bool]] = field(default_factory=list)
-    done: float = 0.0  # likewise, of those in time
+    work_done: float = 0.0  # likewise, of those in time
 
 
 class Fleet:
     """`shares`: of the traffic, for each balancer."""
 
     def __init__(
-        self, seed: int, shares: list[float], servers: int, per_s: float, **settings: object
+        self, seed: int, shares: list[float], servers: int, requests_per_s: float, **settings: object
     ) -> None:
         self.random = random.Random(seed)
         self.settings: dict[str, object] = {
@@ -74,186 +74,217 @@
         }
         self.now = 100 * SECOND
         self.events: list[tuple[int, int, int, object]] = []  # time, number, process (-1: the fleet), event
-        self.number = self.requests = 0
-        self.per_s = per_s
+        self.event_count = self.request_count = 0
+        self.requests_per_s = requests_per_s
         self.servers: dict[bytes, Backend] = {}
-        self.past: list[tuple[Backend, int]] = []  # former lives of servers, with the start of each
+        self.former_processes: list[
+            tuple[Backend, int]
+        ] = []  # former lives of servers, with the start of each
         for i in range(servers):
-            self.join(b"warm%02d" % i, i % 3, born=0)
+            self.add_server(b"warm%02d" % i, i % 3, started_at=0)
         self.processes: list[Balancer | None] = []
-        self.traffic: list[float] = []
-        self.told: list[dict[bytes, int]] = []  # by process: the starts of servers that it was told of
+        self.traffic_shares: list[float] = []
+        self.known_starts: list[
+            dict[bytes, int]
+        ] = []  # by process: the starts of servers that it was told of
         self.attempts: dict[tuple[int, int], list[tuple[Backend, int, bool]]] = {}
-        self.classes: dict[int, tuple[int, int]] = {}  # request: class, its work
+        self.request_classes: dict[int, tuple[int, int]] = {}  # request: class, its work
         for share in shares:
-            self.start(share)
+            self.start_process(share)
 
     # What happens to servers and processes
 
-    def join(self, id: bytes, zone: int = 0, born: int | None = None) -> None:
+    def add_server(self, id: bytes, zone: int = 0, started_at: int | None = None) -> None:
         size = self.random.choice((0.85, 1.0, 1.15))
-        self.servers[id] = Backend(id, zone, self.per_s * size, self.now if born is None else born)
+        self.servers[id] = Backend(
+            id, zone, self.requests_per_s * size, self.now if started_at is None else started_at
+        )
 
-    def restart(self, id: bytes) -> None:
+    def restart_server(self, id: bytes) -> None:
         """The same address, a new process: what it had is lost."""
         old = self.servers[id]
-        self.past.append((old, old.born))
-        self.servers[id] = Backend(id, old.zone, old.per_s, self.now)
+        self.former_processes.append((old, old.started_at))
+        self.servers[id] = Backend(id, old.zone, old.requests_per_s, self.now)
 
     def members(self) -> list[Member]:
         return [
-            Member(s.id, ServerState.READY if s.up else ServerState.DRAINING, 0, 0, s.zone, 1.0, s.born)
+            Member(
+                s.id,
+                ServerState.READY if s.is_listed_ready else ServerState.DRAINING,
+                0,
+                0,
+                s.zone,
+                1.0,
+                s.started_at,
+            )
             for s in self.servers.values()
         ]
 
-    def tell(self, late_us: int = 0, to: int | None = None) -> None:
+    def send_list(self, max_delay_us: int = 0, to: int | None = None) -> None:
         """Each process gets the list as it is now, after a time of its own."""
         for i in range(len(self.processes)) if to is None else (to,):
-            self.put(
-                self.now + int(self.random.random() * late_us), i, ListUpdate(ListKind.CACHED, self.members())
+            self.schedule(
+                self.now + int(self.random.random() * max_delay_us),
+                i,
+                ListUpdate(ListKind.CACHED, self.members()),
             )
 
-    def start(self, share: float, told: bool = True) -> int:
+    def start_process(self, share: float, has_list: bool = True) -> int:
         """Another process, with so much of the traffic."""
         number = len(self.processes)
         self.processes.append(Balancer(Settings(**self.settings), self.random.randrange(1 << 30)))  # type: ignore[arg-type]
-        self.traffic.append(share)
-        self.told.append({})
-        if told:
-            self.tell(to=number)
+        self.traffic_shares.append(share)
+        self.known_starts.append({})
+        if has_list:
+            self.send_list(to=number)
         return number
 
-    def end(self, number: int) -> None:
+    def end_process(self, number: int) -> None:
         self.processes[number] = None
-        self.traffic[number] = 0.0
+        self.traffic_shares[number] = 0.0
 
     # Time
 
-    def put(self, at: int, process: int, event: object) -> None:
-        self.number += 1
-        heapq.heappush(self.events, (at, self.number, process, event))
+    def schedule(self, at: int, process: int, event: object) -> None:
+        self.event_count += 1
+        heapq.heappush(self.events, (at, self.event_count, process, event))
 
-    def play(self, seconds: float, rate: float) -> None:
+    def run(self, seconds: float, rate: float) -> None:
         """So many requests a second in all, at random moments."""
         end = self.now + int(seconds * SECOND)
         at = self.now
         while (at := at + int(self.random.expovariate(rate) * SECOND) + 1) < end:
-            self.put(at, -1, None)
+            self.schedule(at, -1, None)
         while self.events and self.events[0][0] < end:
             self.now, _, number, event = heapq.heappop(self.events)
             if event is None:
-                number, event = self.arrival()
-            self.do(number, event)  # type: ignore[arg-type]
+                number, event = self.new_arrival()
+            self.feed(number, event)  # type: ignore[arg-type]
         self.now = end
 
-    def arrival(self) -> tuple[int, Arrival]:
-        self.requests += 1
-        number = self.random.choices(range(len(self.traffic)), self.traffic)[0]
-        kind = self.random.choices(range(len(PARTS)), PARTS)[0]
-        work = int(WORK_US[kind] * (0.5 + self.random.random()))
-        self.classes[self.requests] = kind, work
+    def new_arrival(self) -> tuple[int, Arrival]:
+        self.request_count += 1
+        number = self.random.choices(range(len(self.traffic_shares)), self.traffic_shares)[0]
+        class_index = self.random.choices(range(len(CLASS_SHARES)), CLASS_SHARES)[0]
+        work = int(CLASS_WORK_US[class_index] * (0.5 + self.random.random()))
+        self.request_classes[self.request_count] = class_index, work
         key = 1 + int(500 * self.random.random() ** 3)
-        return number, Arrival(self.requests, kind, 0, key, 2 * SECOND, 0)
+        return number, Arrival(self.request_count, class_index, 0, key, 2 * SECOND, 0)
 
-    def do(self, number: int, event: Event) -> None:
+    def feed(self, number: int, event: Event) -> None:
         process = self.processes[number]
         if process is None:
             return
         if isinstance(event, ListUpdate):
-            self.told[number] = {m.server: m.born_us for m in event.members}
+            self.known_starts[number] = {m.server: m.born_us for m in event.members}
         for action in process.handle(self.now, event):
             if isinstance(action, SetTimer):
-                self.put(max(action.at_us, self.now), number, TimerFired(action.token))
+                self.schedule(max(action.at_us, self.now), number, TimerFired(action.token))
             elif isinstance(action, Send):
-                self.attempt(number, action)
+                self.start_attempt(number, action)
             elif isinstance(action, Cancel) and not action.unsent:  # here an attempt begins at once
-                self.put(
-                    self.now + ANSWERED_US,
+                self.schedule(
+                    self.now + ROUND_TRIP_US,
                     number,
-                    Outcome(action.request, action.attempt, b"", Status.CANCELLED, ANSWERED_US, False),
+                    Outcome(action.request, action.attempt, b"", Status.CANCELLED, ROUND_TRIP_US, False),
                 )
 
-    def attempt(self, number: int, send: Send) -> None:
+    def start_attempt(self, number: int, send: Send) -> None:
         attempts = self.attempts.setdefault((number, send.request), [])
         attempt = len(attempts)
         server = self.servers.get(send.server)
-        if server is None or not server.reachable:
+        if server is None or not server.is_reachable:
             attempts.append((Backend(send.server, 0, 1.0), self.now, False))
-            self.ends(number, send, attempt, Status.CONNECT_FAILED, 250_000)
+            self.finish_attempt(number, send, attempt, Status.CONNECT_FAILED, 250_000)
             return
         attempts.append((server, self.now, True))
-        kind, work = self.classes[send.request]
-        told = self.told[number].get(send.server) == server.born
-        server.sent.append((self.now, work / MEAN_US, told))
-        server.waiting = [at for at in server.waiting if at > self.now]
-        if len(server.waiting) >= REFUSES_FROM:
-            self.ends(number, send, attempt, Status.FULL, ANSWERED_US)
+        class_index, work = self.request_classes[send.request]
+        knows_start = self.known_starts[number].get(send.server) == server.started_at
+        server.sent.append((self.now, work / MEAN_WORK_US, knows_start))
+        server.finish_times = [at for at in server.finish_times if at > self.now]
+        if len(server.finish_times) >= MAX_WAITING:
+            self.finish_attempt(number, send, attempt, Status.FULL, ROUND_TRIP_US)
             return
-        speed = self.share(server, self.now) * server.per_s * MEAN_US / SECOND
-        begins = max(self.now, server.free_at)
-        server.free_at = begins + int(work / speed)
-        server.waiting.append(server.free_at)
-        took = server.free_at - self.now + ANSWERED_US
-        if took > send.timeout_us:
-            self.ends(number, send, attempt, Status.TIMEOUT, send.timeout_us)
+        speed = self.capacity_share(server, self.now) * server.requests_per_s * MEAN_WORK_US / SECOND
+        begins = max(self.now, server.idle_from)
+        server.idle_from = begins + int(work / speed)
+        server.finish_times.append(server.idle_from)
+        latency_us = server.idle_from - self.now + ROUND_TRIP_US
+        if latency_us > send.timeout_us:
+            self.finish_attempt(number, send, attempt, Status.TIMEOUT, send.timeout_us)
         else:
-            server.done += work / MEAN_US
-            self.ends(number, send, attempt, Status.OK, took)
+            server.work_done += work / MEAN_WORK_US
+            self.finish_attempt(number, send, attempt, Status.OK, latency_us)
 
-    def ends(self, number: int, send: Send, attempt: int, status: Status, took: int) -> None:
+    def finish_attempt(self, number: int, send: Send, attempt: int, status: Status, latency_us: int) -> None:
         closed = status is Status.OK
-        self.put(self.now + took, number, Outcome(send.request, attempt, send.server, status, took, closed))
+        self.schedule(
+            self.now + latency_us,
+            number,
+            Outcome(send.request, attempt, send.server, status, latency_us, closed),
+        )
 
     # What is judged
 
-    def share(self, server: Backend, at: int) -> float:
+    def capacity_share(self, server: Backend, at: int) -> float:
         """What the settings say that it can do by then, of what it can do when warm."""
-        if not server.born:
+        if not server.started_at:
             return 1.0
         from_, us = float(self.settings["cold_from"]), int(self.settings["cold_us"])  # type: ignore[call-overload, arg-type]
-        return min(1.0, from_ + (1 - from_) * (at - server.born) / us)
+        return min(1.0, from_ + (1 - from_) * (at - server.started_at) / us)
 
-    def allowed(self, server: Backend, at: int) -> float:
+    def allowed_requests(self, server: Backend, at: int) -> float:
         """N: requests of mean work in a window that begins then."""
         window_s = int(self.settings["fall_us"]) / SECOND  # type: ignore[call-overload]
-        return float(self.settings["fall_multiple"]) * server.per_s * self.share(server, at) * window_s  # type: ignore[arg-type]
-
-    def worst(self) -> tuple[float, float, float]:
+        return (
+            float(self.settings["fall_multiple"])
+            * server.requests_per_s
+            * self.capacity_share(server, at)
+            * window_s
+        )  # type: ignore[arg-type]
+
+    def worst_window(self) -> tuple[float, float, float]:
         """Of all windows of all cold servers, the largest (of what may be sent, its sum, N).
 
         Where a third or more came from those that had not been told of the start, no rule is broken.
         """
         worst = (0.0, 0.0, 0.0)
         window_us = int(self.settings["fall_us"])  # type: ignore[call-overload]
-        for server in [s for s in (*self.servers.values(), *(s for s, _ in self.past)) if s.born]:
+        for server in [
+            s for s in (*self.servers.values(), *(s for s, _ in self.former_processes)) if s.started_at
+        ]:
             first = 0
-            total = told = 0.0
-            for at, work, by_told in server.sent:
+            total = informed_total = 0.0
+            for at, work, is_informed in server.sent:
                 total += work
-                told += work * by_told
+                informed_total += work * is_informed
                 while server.sent[first][0] <= at - window_us:
-                    _, earlier, by_told = server.sent[first]
+                    _, earlier, is_informed = server.sent[first]
                     total -= earlier
-                    told -= earlier * by_told
+                    informed_total -= earlier * is_informed
                     first += 1
-                begins = max(server.born, at - window_us)
-                if self.share(server, begins) >= 1:
+                begins = max(server.started_at, at - window_us)
+                if self.capacity_share(server, begins) >= 1:
                     break
-                if told > total * 2 / 3:
-                    n = self.allowed(server, begins)
-                    worst = max(worst, (total / most(n), total, n))
+                if informed_total > total * 2 / 3:
+                    n = self.allowed_requests(server, begins)
+                    worst = max(worst, (total / max_requests(n), total, n))
         return worst
 
-    def used(self) -> float:
+    def used_share(self) -> float:
         """What cold servers did, of what they could have done since their start."""
-        cold = [s for s in self.servers.values() if s.born]
-        could = 0.0
-        for server in cold:
-            seconds = (self.now - server.born) / SECOND
-            could += server.per_s * seconds * self.share(server, (server.born + self.now) // 2)
-        return sum(s.done for s in cold) / could if could else 0.0
+        new_servers = [s for s in self.servers.values() if s.started_at]
+        possible = 0.0
+        for server in new_servers:
+            seconds = (self.now - server.started_at) / SECOND
+            possible += (
+                server.requests_per_s
+                * seconds
+                * self.capacity_share(server, (server.started_at + self.now) // 2)
+            )
+        return sum(s.work_done for s in new_servers) / possible if possible else 0.0
 
 
-def most(n: float) -> float:
+def max_requests(n: float) -> float:
     """What may be sent in a window for which the settings allow `n`, with the rule's room for chance."""
     return float(n + 3 * n**0.5 + 3 if n < 30 else n + 2 * n**0.5 + 2)
--- a/tests/policy/test_changed.py
+++ b/tests/policy/test_changed.py
@@ -7,8 +7,8 @@
 from random import Random
 
 import pytest
-from test_decisions import SECOND, Node, one
-from test_heard import Fed
+from test_decisions import SECOND, BalancerUnderTest, one_class
+from test_shared_state_update import SteadyBalancer
 
 from roadlb.policy.interface import (
     Action,
@@ -30,141 +30,148 @@
 )
 from roadlb.sites.refusal import PlanLine
 
-ORDER = one(Effect.UNSAFE)[0]
-CHOICES: tuple[tuple[Effect, Group, int], ...] = tuple(
+ORDER_CLASS = one_class(Effect.UNSAFE)[0]
+CLASS_RULES: tuple[tuple[Effect, Group, int], ...] = tuple(
     (effect, group, window) for effect in Effect for group in Group for window in (0, SECOND)
 )
 
 
-def change(node: Node, **settings: object) -> list[Action]:
-    return node.do(Changed(replace(node.b.s, **settings)))  # type: ignore[arg-type]
+def change_settings(harness: BalancerUnderTest, **settings: object) -> list[Action]:
+    return harness.feed(Changed(replace(harness.balancer.s, **settings)))  # type: ignore[arg-type]
 
 
-def copies(actions: list[Action]) -> list[Action]:
+def sends_of(actions: list[Action]) -> list[Action]:
     return [a for a in actions if isinstance(a, Send)]
 
 
-def warm(**settings: object) -> Node:
+def harness_ready_to_hedge(**settings: object) -> BalancerUnderTest:
     """Whose next request that is not answered gets a copy."""
-    node = Node(**settings)  # type: ignore[arg-type]
+    harness = BalancerUnderTest(**settings)  # type: ignore[arg-type]
     for key in range(1, 100):
-        node.serve(key)
-    return node
+        harness.serve(key)
+    return harness
 
 
-def narrowed(node: Node) -> None:
-    change(node, classes=[replace(node.b.s.classes[0], effect=Effect.UNSAFE)])
+def make_class_unsafe(harness: BalancerUnderTest) -> None:
+    change_settings(harness, classes=[replace(harness.balancer.s.classes[0], effect=Effect.UNSAFE)])
 
 
-def without_copies(node: Node) -> None:
-    change(node, second_copies=False)
+def forbid_hedges(harness: BalancerUnderTest) -> None:
+    change_settings(harness, second_copies=False)
 
 
-def one_attempt(node: Node) -> None:
-    change(node, max_attempts=1)
+def allow_one_attempt(harness: BalancerUnderTest) -> None:
+    change_settings(harness, max_attempts=1)
 
 
-def nothing(node: Node) -> None:
-    change(node)
+def change_nothing(harness: BalancerUnderTest) -> None:
+    change_settings(harness)
 
 
-@pytest.mark.parametrize("to, repeats", [(nothing, True), (narrowed, False), (one_attempt, False)])
+@pytest.mark.parametrize(
+    "change, is_retried", [(change_nothing, True), (make_class_unsafe, False), (allow_one_attempt, False)]
+)
 @pytest.mark.parametrize("status", [Status.ERROR, Status.RESET, Status.TIMEOUT])
-def test_a_request_that_is_out_is_repeated_only_as_its_class_may_be_by_now(
-    to: Callable[[Node], None], repeats: bool, status: Status
+def test_an_open_request_is_retried_only_as_its_class_now_allows(
+    change: Callable[[BalancerUnderTest], None], is_retried: bool, status: Status
 ) -> None:
-    node = Node(classes=one(Effect.SAFE), second_copies=False)
-    server = node.sent(7)
-    to(node)
-    assert isinstance(node.end(server, status)[0], Send) is repeats
+    harness = BalancerUnderTest(classes=one_class(Effect.SAFE), second_copies=False)
+    server = harness.request_server(7)
+    change(harness)
+    assert isinstance(harness.finish(server, status)[0], Send) is is_retried
 
 
-def test_what_never_ran_may_be_sent_again_whatever_its_class_is_by_now() -> None:
-    node = Node(classes=one(Effect.SAFE))
-    server = node.sent(7)
-    narrowed(node)
-    (again,) = node.end(server, Status.CONNECT_FAILED)
+def test_an_attempt_that_never_ran_may_be_retried_whatever_the_class_now_allows() -> None:
+    harness = BalancerUnderTest(classes=one_class(Effect.SAFE))
+    server = harness.request_server(7)
+    make_class_unsafe(harness)
+    (again,) = harness.finish(server, Status.CONNECT_FAILED)
     assert isinstance(again, Send)
-    assert node.end(again.server, Status.RESET, attempt=1) == [Fail(node.next)]
+    assert harness.finish(again.server, Status.RESET, attempt=1) == [Fail(harness.last_request)]
 
 
 @pytest.mark.parametrize(
-    "to, copied", [(nothing, True), (narrowed, False), (one_attempt, False), (without_copies, False)]
+    "change, is_hedged",
+    [(change_nothing, True), (make_class_unsafe, False), (allow_one_attempt, False), (forbid_hedges, False)],
 )
-def test_a_copy_whose_moment_was_noted_before_asks_again_at_that_moment(
-    to: Callable[[Node], None], copied: bool
+def test_a_hedge_scheduled_before_a_change_is_checked_again_when_due(
+    change: Callable[[BalancerUnderTest], None], is_hedged: bool
 ) -> None:
-    node = warm()
-    node.sent(7)
-    to(node)
-    assert bool(copies(node.wait(80_000))) is copied
-
-
-def test_copies_allowed_again_are_for_requests_that_come_after() -> None:
-    node = warm(second_copies=False)
-    node.sent(7)
-    change(node, second_copies=True)
-    assert not copies(node.wait(80_000))
-    node.sent(8)
-    assert len(copies(node.wait(80_000))) == 1
-
-
-def test_a_class_widened_counts_for_what_comes_after_only() -> None:
-    node = Node(classes=one(Effect.UNSAFE))
-    before = node.sent(7)
-    change(node, classes=one(Effect.SAFE))
-    after = node.sent(8)
-    assert node.end(before, Status.RESET, request=node.next - 1) == [Fail(node.next - 1)]
-    assert isinstance(node.end(after, Status.RESET)[0], Send)
+    harness = harness_ready_to_hedge()
+    harness.request_server(7)
+    change(harness)
+    assert bool(sends_of(harness.advance(80_000))) is is_hedged
+
+
+def test_hedges_allowed_again_are_only_for_later_requests() -> None:
+    harness = harness_ready_to_hedge(second_copies=False)
+    harness.request_server(7)
+    change_settings(harness, second_copies=True)
+    assert not sends_of(harness.advance(80_000))
+    harness.request_server(8)
+    assert len(sends_of(harness.advance(80_000))) == 1
+
+
+def test_a_class_made_repeatable_counts_only_for_later_requests() -> None:
+    harness = BalancerUnderTest(classes=one_class(Effect.UNSAFE))
+    before = harness.request_server(7)
+    change_settings(harness, classes=one_class(Effect.SAFE))
+    after = harness.request_server(8)
+    assert harness.finish(before, Status.RESET, request=harness.last_request - 1) == [
+        Fail(harness.last_request - 1)
+    ]
+    assert isinstance(harness.finish(after, Status.RESET)[0], Send)
 
 
-def test_a_class_narrowed_and_widened_again_leaves_its_open_requests_narrow() -> None:
-    node = Node(classes=one(Effect.SAFE))
-    server = node.sent(7)
-    narrowed(node)
-    change(node, classes=one(Effect.SAFE))
-    assert node.end(server, Status.RESET) == [Fail(node.next)]
+def test_a_class_made_unsafe_and_safe_again_leaves_open_requests_unsafe() -> None:
+    harness = BalancerUnderTest(classes=one_class(Effect.SAFE))
+    server = harness.request_server(7)
+    make_class_unsafe(harness)
+    change_settings(harness, classes=one_class(Effect.SAFE))
+    assert harness.finish(server, Status.RESET) == [Fail(harness.last_request)]
 
 
 @pytest.mark.parametrize("group", [Group.ZONE, Group.CELL])
-def test_a_group_that_shrinks_binds_the_repeat_of_what_came_before(group: Group) -> None:
+def test_a_group_that_shrinks_restricts_retries_of_open_requests(group: Group) -> None:
     for key in range(1, 30):
-        node = Node(servers=12, classes=one(Effect.KEYED, Group.ALL))
-        of = {s: i // 2 if group is Group.CELL else i % 2 for i, s in enumerate(node.ids)}
-        server = node.sent(key)
-        change(node, classes=one(Effect.KEYED, group))
-        (again,) = node.end(server, Status.RESET)
+        harness = BalancerUnderTest(servers=12, classes=one_class(Effect.KEYED, Group.ALL))
+        of = {s: i // 2 if group is Group.CELL else i % 2 for i, s in enumerate(harness.server_ids)}
+        server = harness.request_server(key)
+        change_settings(harness, classes=one_class(Effect.KEYED, group))
+        (again,) = harness.finish(server, Status.RESET)
         assert isinstance(again, Send) and of[again.server] == of[server]
 
 
-def test_a_window_that_shrinks_ends_the_repeats_of_what_came_before() -> None:
-    for window, repeats in ((SECOND, True), (100_000, False)):
-        node = Node(classes=one(Effect.KEYED, window_us=SECOND))
-        server = node.sent(7)
-        change(node, classes=one(Effect.KEYED, window_us=window))
-        node.wait(200_000)
-        assert isinstance(node.end(server, Status.RESET)[0], Send) is repeats
+def test_a_window_that_shrinks_restricts_retries_of_open_requests() -> None:
+    for window, is_retried in ((SECOND, True), (100_000, False)):
+        harness = BalancerUnderTest(classes=one_class(Effect.KEYED, window_us=SECOND))
+        server = harness.request_server(7)
+        change_settings(harness, classes=one_class(Effect.KEYED, window_us=window))
+        harness.advance(200_000)
+        assert isinstance(harness.finish(server, Status.RESET)[0], Send) is is_retried
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_an_open_request_is_held_to_all_rules_since_it_came(seed: int) -> None:
+def test_an_open_request_obeys_all_rules_since_its_arrival(seed: int) -> None:
     """Rules at random: it is never repeated where any of them forbids it."""
     random = Random(seed)
     for _ in range(20):
         rules = [
-            replace(ORDER, effect=effect, group=group, window_us=window)
-            for effect, group, window in random.choices(CHOICES, k=random.randint(2, 5))
+            replace(ORDER_CLASS, effect=effect, group=group, window_us=window)
+            for effect, group, window in random.choices(CLASS_RULES, k=random.randint(2, 5))
         ]
-        node = Node(servers=12, seed=seed, classes=[rules[0]], second_copies=False)
-        node.do(
-            ListUpdate(ListKind.FULL, [Member(s, cell=i // 2, zone=i // 4) for i, s in enumerate(node.ids)])
+        harness = BalancerUnderTest(servers=12, seed=seed, classes=[rules[0]], second_copies=False)
+        harness.feed(
+            ListUpdate(
+                ListKind.FULL, [Member(s, cell=i // 2, zone=i // 4) for i, s in enumerate(harness.server_ids)]
+            )
         )
-        cell, zone = ({s: i // size for i, s in enumerate(node.ids)} for size in (2, 4))
-        server = node.sent(7)
+        cell, zone = ({s: i // size for i, s in enumerate(harness.server_ids)} for size in (2, 4))
+        server = harness.request_server(7)
         for rule in rules[1:]:
-            change(node, classes=[rule])
-        node.wait(50_000)
-        again = copies(node.end(server, Status.RESET))
+            change_settings(harness, classes=[rule])
+        harness.advance(50_000)
+        again = sends_of(harness.finish(server, Status.RESET))
         if any(rule.effect is Effect.UNSAFE for rule in rules):
             assert not again
         elif any(rule.effect is Effect.KEYED for rule in rules):
@@ -178,120 +185,135 @@
             assert again
 
 
-def test_a_repeat_that_waits_for_its_connection_is_called_off_and_the_first_is_not() -> None:
-    node = warm()
-    node.sent(7)
-    (copy,) = copies(node.wait(80_000))
+def test_a_retry_waiting_for_its_connection_is_cancelled_and_the_first_attempt_is_not() -> None:
+    harness = harness_ready_to_hedge()
+    harness.request_server(7)
+    (copy,) = sends_of(harness.advance(80_000))
     assert isinstance(copy, Send)
-    assert change(node, classes=[replace(node.b.s.classes[0], effect=Effect.UNSAFE)]) == [
-        Cancel(node.next, 1, unsent=True)
-    ]
-    assert node.end(copy.server, Status.MOOT, attempt=1) == []
-    assert change(node, max_attempts=9) == []
+    assert change_settings(
+        harness, classes=[replace(harness.balancer.s.classes[0], effect=Effect.UNSAFE)]
+    ) == [Cancel(harness.last_request, 1, unsent=True)]
+    assert harness.finish(copy.server, Status.MOOT, attempt=1) == []
+    assert change_settings(harness, max_attempts=9) == []
 
 
-def test_work_in_hand_is_nothing_once_all_that_was_open_at_a_change_is_over() -> None:
-    node = Node(classes=one(Effect.SAFE))
-    servers = [node.sent(key) for key in range(1, 9)]
-    narrowed(node)
+def test_nothing_is_in_flight_once_all_requests_open_at_a_change_are_over() -> None:
+    harness = BalancerUnderTest(classes=one_class(Effect.SAFE))
+    servers = [harness.request_server(key) for key in range(1, 9)]
+    make_class_unsafe(harness)
     for request, server in enumerate(servers, 1):
-        node.end(server, request=request)
-    assert node.b.hand.out == 0 and not node.b.requests and all(s.out == 0 for s in node.b.list.ready)
+        harness.finish(server, request=request)
+    assert (
+        harness.balancer.hand.out == 0
+        and not harness.balancer.requests
+        and all(s.out == 0 for s in harness.balancer.list.ready)
+    )
 
 
 CLASSES = [RequestClass("read", worth=1.0), RequestClass("map", worth=8.0)]
 
 
-def shed(node: Node, count: int) -> list[int]:
+def count_refusals(harness: BalancerUnderTest, count: int) -> list[int]:
     """Of each class of `CLASSES`, in turn, how many are refused while half of all must go."""
     refused = [0, 0]
     for i in range(count):
-        node.do(Shortage(0.5))
-        node.next += 1
-        for action in node.do(Arrival(node.next, i % 2, i % 2, i % 211 + 1, SECOND, 0)):
+        harness.feed(Shortage(0.5))
+        harness.last_request += 1
+        for action in harness.feed(Arrival(harness.last_request, i % 2, i % 2, i % 211 + 1, SECOND, 0)):
             if isinstance(action, Send):
-                node.end(action.server)
+                harness.finish(action.server)
             elif isinstance(action, Refuse):
                 refused[i % 2] += 1
-        node.wait(10_000)
+        harness.advance(10_000)
     return refused
 
 
 @pytest.mark.parametrize(
-    "then",
+    "changed_settings",
     [
         {"refusals": (PlanLine(class_index=1),)},
         {"classes": [replace(CLASSES[0], worth=8.0), replace(CLASSES[1], worth=1.0)]},
         {"tenants": [Tenant("a", 9e9), Tenant("b", 0.0)], "over_share_worth": 0.001},
     ],
 )
-def test_in_mid_overload_another_order_goes_by_what_is_asked_from_now_on(then: dict[str, object]) -> None:
+def test_a_ranking_changed_during_overload_counts_requests_anew(changed_settings: dict[str, object]) -> None:
     """What was counted under the former one would let the class that is to go first pass for seconds, as its
     new rank is empty, or refuse all of it, as that rank was full."""
-    node = Node(classes=CLASSES, tenants=[Tenant("a", 9e9), Tenant("b", 0.0)], over_share_worth=1.0)
-    first = shed(node, 600)
-    assert first[0] > 280 and first[1] == 0
-    change(node, **then)
-    at_once = shed(node, 40)
-    assert 10 <= sum(at_once) <= 30 and at_once[1] >= 2 * at_once[0], "the share holds, from the first on"
-    last = shed(node, 400)
-    assert last[0] <= 4 and last[1] > 180
-
-
-def test_a_change_that_concerns_no_rank_forgets_nothing_of_what_was_asked() -> None:
-    node = Node(classes=CLASSES)
-    shed(node, 200)
-    asked = list(node.b.refusals.asked)
-    change(node, max_attempts=7, second_copies=False, cross_zone_cost=1.0)
-    assert node.b.refusals.asked == asked and sum(asked) > 0
-
-
-def test_a_price_for_crossing_is_for_keys_that_come_anew_and_leaves_caches_as_they_are() -> None:
-    node = Node(servers=12, zone=0)
-
-    def at_home(keys: range) -> int:
-        return sum(node.ids.index(node.serve(key)) % 2 == 0 for key in keys)
-
-    before = [node.serve(key) for key in range(1, 200)]
-    change(node, cross_zone_cost=0.5)
-    assert [node.serve(key) for key in range(1, 200)] == before
-    assert at_home(range(200, 400)) > 140
-    change(node, cross_zone_cost=0.0)
-    assert at_home(range(400, 600)) < 120
-
-
-def test_a_price_for_dials_takes_those_that_are_connected_from_then_on() -> None:
-    node = Node(keep_us=60 * SECOND)
-    used = node.serve(7)
-    other = next(key for key in range(8, 100) if Node().sent(key) != used)
-    change(node, handshake_cost=0.5)
-    assert node.sent(other) == used
-    node.end(used)
-    change(node, handshake_cost=0.0)
-    assert node.sent(other) != used
-
-
-def test_shares_of_cold_servers_are_made_anew_and_what_is_held_of_them_is_given_back() -> None:
-    node = Node(servers=2, born=10 * SECOND, cold_us=20 * SECOND, cold_from=0.5)
-    while not isinstance(sent := node.ask(7)[0], Send):
-        node.now += 1_000
-    before = [s.share for s in node.b.list.ready]
-    change(node, cold_from=0.1, cold_us=40 * SECOND)
-    assert all(s.share < share for s, share in zip(node.b.list.ready, before, strict=True))
-    node.end(sent.server)
-    assert node.b.slow_start.pace._capacity_in_use == 0
-    change(node, cold_us=0)
-    assert [s.share for s in node.b.list.ready] == [1.0, 1.0]
+    harness = BalancerUnderTest(
+        classes=CLASSES, tenants=[Tenant("a", 9e9), Tenant("b", 0.0)], over_share_worth=1.0
+    )
+    refused_before = count_refusals(harness, 600)
+    assert refused_before[0] > 280 and refused_before[1] == 0
+    change_settings(harness, **changed_settings)
+    refused_after = count_refusals(harness, 40)
+    assert 10 <= sum(refused_after) <= 30 and refused_after[1] >= 2 * refused_after[0], (
+        "the share holds, from the first on"
+    )
+    refused_later = count_refusals(harness, 400)
+    assert refused_later[0] <= 4 and refused_later[1] > 180
+
+
+def test_a_change_that_affects_no_rank_keeps_the_request_counts() -> None:
+    harness = BalancerUnderTest(classes=CLASSES)
+    count_refusals(harness, 200)
+    asked = list(harness.balancer.refusals.asked)
+    change_settings(harness, max_attempts=7, second_copies=False, cross_zone_cost=1.0)
+    assert harness.balancer.refusals.asked == asked and sum(asked) > 0
+
+
+def test_a_cross_zone_cost_applies_to_new_keys_and_keeps_the_sets_of_known_keys() -> None:
+    harness = BalancerUnderTest(servers=12, zone=0)
+
+    def count_in_own_zone(keys: range) -> int:
+        return sum(harness.server_ids.index(harness.serve(key)) % 2 == 0 for key in keys)
+
+    before = [harness.serve(key) for key in range(1, 200)]
+    change_settings(harness, cross_zone_cost=0.5)
+    assert [harness.serve(key) for key in range(1, 200)] == before
+    assert count_in_own_zone(range(200, 400)) > 140
+    change_settings(harness, cross_zone_cost=0.0)
+    assert count_in_own_zone(range(400, 600)) < 120
+
+
+def test_a_handshake_cost_makes_requests_prefer_connected_servers_at_once() -> None:
+    harness = BalancerUnderTest(keep_us=60 * SECOND)
+    used = harness.serve(7)
+    other = next(key for key in range(8, 100) if BalancerUnderTest().request_server(key) != used)
+    change_settings(harness, handshake_cost=0.5)
+    assert harness.request_server(other) == used
+    harness.finish(used)
+    change_settings(harness, handshake_cost=0.0)
+    assert harness.request_server(other) != used
+
+
+def test_slow_start_shares_are_recomputed_and_capacity_in_use_is_released() -> None:
+    harness = BalancerUnderTest(servers=2, born=10 * SECOND, cold_us=20 * SECOND, cold_from=0.5)
+    while not isinstance(sent := harness.send_request(7)[0], Send):
+        harness.now += 1_000
+    before = [s.share for s in harness.balancer.list.ready]
+    change_settings(harness, cold_from=0.1, cold_us=40 * SECOND)
+    assert all(s.share < share for s, share in zip(harness.balancer.list.ready, before, strict=True))
+    harness.finish(sent.server)
+    assert harness.balancer.slow_start.pace._capacity_in_use == 0
+    change_settings(harness, cold_us=0)
+    assert [s.share for s in harness.balancer.list.ready] == [1.0, 1.0]
 
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.FULL, Status.RESET])
-def test_the_same_settings_told_again_change_no_decision(status: Status) -> None:
-    alone, told = (
-        Fed(tenants=[Tenant("a", 5)], cold_us=500 * SECOND, cold_from=0.2, cross_zone_cost=0.5)
+def test_the_same_settings_applied_again_change_no_decision(status: Status) -> None:
+    unchanged, changed = (
+        SteadyBalancer(tenants=[Tenant("a", 5)], cold_us=500 * SECOND, cold_from=0.2, cross_zone_cost=0.5)
         for _ in range(2)
     )
     for n in range(300):
         if n % 10 == 0:
-            assert told.do(Changed(replace(told.b.s, classes=[replace(c) for c in told.b.s.classes]))) == []
+            assert (
+                changed.feed(
+                    Changed(
+                        replace(changed.balancer.s, classes=[replace(c) for c in changed.balancer.s.classes])
+                    )
+                )
+                == []
+            )
         ends = status if n % 7 == 0 else Status.OK
-        assert alone.ask(ends) == told.ask(ends)
+        assert unchanged.send_request(ends) == changed.send_request(ends)
--- a/tests/policy/test_limits.py
+++ b/tests/policy/test_limits.py
@@ -2,14 +2,14 @@
 
 from pathlib import Path
 
-MODULE = Path(__file__).parents[2] / "roadlb" / "policy" / "logic.py"
+POLICY_MODULE = Path(__file__).parents[2] / "roadlb" / "policy" / "logic.py"
 
 
-def test_module_size() -> None:
-    lines = [line for line in MODULE.read_text().splitlines() if line.strip()]
+def test_the_policy_module_stays_short() -> None:
+    lines = [line for line in POLICY_MODULE.read_text().splitlines() if line.strip()]
     assert len(lines) <= 500
     assert max(len(line) for line in lines) <= 110
 
 
-def test_module_names_its_interface_at_the_top() -> None:
-    assert "roadlb/policy/interface.py" in MODULE.read_text().splitlines()[0]
+def test_the_policy_module_names_its_interface_in_its_first_line() -> None:
+    assert "roadlb/policy/interface.py" in POLICY_MODULE.read_text().splitlines()[0]
