--- a/roadlb/policy/server_list.py
+++ b/roadlb/policy/server_list.py
@@ -58,7 +58,7 @@
         for server in [self.servers[i] for i in gone if i in self.servers and i not in listed]:
             left |= server.up
             server.up = False
-            self.standings.remove(server)
+            self.standings.remove_server(server)
             del self.servers[server.id]
         for m in present:
             left |= self._put(now, m, settings, aim_us)
--- a/roadlb/routing/health.py
+++ b/roadlb/routing/health.py
@@ -89,7 +89,7 @@
         """`chance()`: 0..1, each balancer's own, so that all do not come back at once."""
         self._draw, self.ejected_count = draw, 0
 
-    def remove(self, server: ServerHealth) -> None:
+    def remove_server(self, server: ServerHealth) -> None:
         """It is listed no more: what is still out there may end after this."""
         self.ejected_count -= server.ejected_until > 0
         server.ejected_until, server.is_listed = 0, False
--- a/tests/policy/test_shared_state_update.py
+++ b/tests/policy/test_shared_state_update.py
@@ -174,6 +174,6 @@
         s = ServerHealth()
         for n in range(10):
             if n == (9 if ejected_before else 1):
-                tracker.remove(s)
+                tracker.remove_server(s)
             tracker.record_failed_attempt(n, s, spoilt=False, server_count=10)
         assert tracker.ejected_count == 0
