--- a/roadlb/routing/__init__.py
+++ b/roadlb/routing/__init__.py
@@ -1,1 +1,1 @@
-"""What the decision module knows of the ways to servers; deciders without I/O."""
+"""What the decision module knows of the ways to servers; it decides without I/O."""
--- a/roadlb/routing/key_order.py
+++ b/roadlb/routing/key_order.py
@@ -1,15 +1,15 @@
-"""A key's weighted rendezvous order of the servers, alike in every process."""
+"""A key's weighted rendezvous order of the servers, which is the same in every process."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
 HASH_MASK = (1 << 30) - 1
-EXTRA_CANDIDATES = 4  # so many more than are asked for are looked at, in the mean
+EXTRA_CANDIDATES = 4  # servers within the distance limit beyond the number asked for, on average
 
 
 def splitmix64(x: int) -> int:
-    """Scatter an integer over 64 bits, alike in every process (splitmix64)."""
+    """Scatter an integer over 64 bits, alike in every process."""
     x = (x + 0x9E3779B97F4A7C15) & 0xFFFFFFFFFFFFFFFF
     x = ((x ^ x >> 30) * 0xBF58476D1CE4E5B9) & 0xFFFFFFFFFFFFFFFF
     x = ((x ^ x >> 27) * 0x94D049BB133111EB) & 0xFFFFFFFFFFFFFFFF
@@ -17,7 +17,7 @@
 
 
 class RendezvousOrder:
-    """Of servers in a fixed order, by (their hash, 0..HASH; the inverse of their weight)."""
+    """Ranks servers for any key; they come in a fixed sequence, as (hash, 0..HASH_MASK; 1 / weight)."""
 
     __slots__ = ("_servers", "_total_weight")
 
@@ -26,9 +26,10 @@
         self._total_weight = sum(1 / inverse for _, inverse in self._servers) or 1.0
 
     def first_positions(self, key: int, count: int) -> list[int]:
-        """The positions of the first `count` servers of a key's order."""
+        """Return the positions, in the given sequence, of the first `count` servers of a key's order."""
         key_hash = splitmix64(key)
         offset, multiplier = key_hash & HASH_MASK, key_hash >> 34 | 1
+        # Only servers within this distance are sorted, as long as they are enough.
         max_distance = (count + EXTRA_CANDIDATES) * HASH_MASK / self._total_weight
         distance = [((h ^ offset) * multiplier & HASH_MASK) * inverse for h, inverse in self._servers]
         nearest = [i for i, d in enumerate(distance) if d < max_distance]
--- a/roadlb/routing/key_sets.py
+++ b/roadlb/routing/key_sets.py
@@ -1,16 +1,16 @@
-"""The server sets of keys: LARD's table, and when a server joins a key's set or leaves it.  No I/O.
+"""The server sets of keys: the table of LARD, and when a server joins a key's set or leaves it.  No I/O.
 
-    the best member's load                    some other's            what follows
+    the best member's load                    another server's        what follows
     under T_high, nothing waits there         -                       the member takes the request
     above T_high                              below T_low             the other joins the set and takes it
     at 2 T_high                               less                    the same
     it reports more waiting than the mean     half as much waiting    the same, whatever our own count says
     under T_low, not grown for SHRINK_US      -                       the last to join leaves
 
-Own requests in flight tell little where many balancers share the servers: of 200, each has 0.1 of what waits
-at a server that is twenty requests behind, and no set would grow while the nodes of hot keys are pushed over.
-So what servers report is held against what they report in the mean.  A set that has all of the order it was
-given is given twice as much: a key may need more servers than the first few.
+A balancer's own requests in flight tell little where many balancers share the servers: of 200, each has 0.1
+of what waits at a server that is twenty requests behind, and no set would grow while the servers of hot keys
+are overloaded.  So what a server reports is compared with the mean of what all servers report.  A set that
+has all of the candidates it was given is given twice as many: a key may need more servers than the first few.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 from typing import Generic, Protocol, TypeVar
 
 LOW_FACTOR, HIGH_FACTOR = 1.1, 1.5  # T_low and T_high, as multiples of the fleet's mean load ...
-MARGIN_REQUESTS = 0.4  # ... plus this many requests, below which a count says nothing
-CROWDED_REQUESTS = 2.0  # requests waiting, beyond HIGH times the mean, that make a server crowded
-MAX_REPORT_AGE_US = 10_000_000  # so old a report counts in that mean: who is asked seldom is in it too
-INITIAL_CANDIDATES, MAX_CANDIDATES = 8, 64  # servers kept of a key's order, and for a set that has them all
-MAX_SETS, SHRINK_US = 4_096, 5_000_000  # the longest unused goes; one that has not grown lately shrinks
+MARGIN_REQUESTS = 0.4  # ... plus this many requests, below which a count tells nothing
+CROWDED_REQUESTS = 2.0  # requests waiting, beyond HIGH_FACTOR times the mean, that make a server crowded
+MAX_REPORT_AGE_US = 10_000_000  # a report counts in that mean for so long: also of servers seldom sent to
+INITIAL_CANDIDATES, MAX_CANDIDATES = 8, 64  # servers kept of a key's order, and for a set that has all
+MAX_SETS, SHRINK_US = 4_096, 5_000_000  # beyond it the longest unused goes; a set that has not grown shrinks
 
 
 class Member(Protocol):
-    """What a set must know of a server: its size, and what is in hand there for that size."""
+    """What a key set needs to know of a server: its size, and the load for that size."""
 
     up: bool
     inverse: float
@@ -43,17 +43,12 @@
 class KeySet(Generic[S]):
     """The servers that a key's requests go to, and the start of the key's rendezvous order."""
 
-    __slots__ = (
-        "candidates",
-        "grown_at",
-        "members",
-        "version",
-    )  # mypyc compiles no generic dataclass with slots
+    __slots__ = ("candidates", "grown_at", "members", "version")  # mypyc: no generic dataclass with slots
 
     def __init__(self) -> None:
         self.members: list[S] = []
-        self.candidates: list[S] = []
-        self.version = -1  # of the server list that `order` was made from
+        self.candidates: list[S] = []  # the first servers of the key's rendezvous order
+        self.version = -1  # of the server list that `candidates` was made from
         self.grown_at = 0
 
     def join(self, now: int, server: S | None) -> None:
@@ -63,11 +58,14 @@
 
 
 class KeySets(Generic[S]):
-    """One balancer's, by key.  `order(key, count)`: the first of a key's servers in their order."""
+    """One balancer's sets, by key.
+
+    `find_candidates(key, count)`: the first `count` servers of a key's rendezvous order.
+    """
 
     def __init__(self, find_candidates: Callable[[int, int], list[S]]) -> None:
         self._find_candidates, self._sets = find_candidates, dict[int, KeySet[S]]()
-        self.mean_waiting = 0.0  # what a server reports to be waiting, for its size, on the mean
+        self.mean_waiting = 0.0  # requests that a server reports to be waiting, for its size, on average
 
     def __len__(self) -> int:
         return len(self._sets)
@@ -79,7 +77,10 @@
         return self._sets[key]
 
     def get_or_create(self, key: int, version: int) -> KeySet[S]:
-        """The key's set, now the last in the table to go, without servers that have left by this version."""
+        """Return the key's set, without servers that have left by this version of the list.
+
+        It counts as the most recently used from now on.
+        """
         key_set = self._sets.pop(key, None)
         if key_set is None:
             if len(self._sets) >= MAX_SETS:
@@ -95,11 +96,14 @@
         return key_set
 
     def low_mark(self, server: S, mean: float) -> float:
-        """T_low of a server, where the fleet's mean load is this."""
+        """Return T_low of a server, given the fleet's mean load."""
         return LOW_FACTOR * mean + MARGIN_REQUESTS * server.inverse / 2
 
     def suffices(self, now: int, aim_us: int, best: S, mean: float, key_set: KeySet[S]) -> bool:
-        """Does the best member take the request with no look at others?  A set that is too large shrinks."""
+        """Return whether the best member takes the request with no look at others.
+
+        A set that is larger than it has to be loses its last member.
+        """
         load = best.load(now, aim_us)
         if load > HIGH_FACTOR * mean + MARGIN_REQUESTS * best.inverse or self.is_crowded(now, aim_us, best):
             return False
@@ -110,19 +114,19 @@
         return True
 
     def is_crowded(self, now: int, aim_us: int, server: S) -> bool:
-        """Does it report clearly more waiting than others do?"""
+        """Return whether the server reports clearly more waiting requests than others do."""
         return (
             server.waiting(now, aim_us) > HIGH_FACTOR * self.mean_waiting + CROWDED_REQUESTS * server.inverse
         )
 
     def more_candidates(self, key: int, key_set: KeySet[S]) -> Sequence[S]:
-        """Those of the key's order that may join."""
+        """Return the servers of the key's order that may join; twice as many if all of them have joined."""
         if len(key_set.members) >= len(key_set.candidates) < MAX_CANDIDATES:
             key_set.candidates = self._find_candidates(key, 2 * len(key_set.candidates))
         return key_set.candidates
 
     def should_join(self, now: int, aim_us: int, other: S | None, best: S, mean: float) -> bool:
-        """Is the other so much better off than the best member that it joins?"""
+        """Return whether the other server is so much less loaded than the best member that it joins."""
         if other is None:
             return False
         if self.is_crowded(now, aim_us, best) and 2 * other.waiting(now, aim_us) < best.waiting(now, aim_us):
@@ -134,6 +138,8 @@
         )
 
     def update_reports(self, waiting: Sequence[float]) -> None:
-        """Once a second: what each server reported last, for its size, if that is not older than
-        RECENT_US."""
+        """Take what each server reported last, for its size, if that is no older than MAX_REPORT_AGE_US.
+
+        Called once a second.
+        """
         self.mean_waiting = sum(waiting) / len(waiting) if waiting else 0.0
--- a/roadlb/routing/shares.py
+++ b/roadlb/routing/shares.py
@@ -1,16 +1,16 @@
-"""Among how many balancers is divided what all together may do, alone or as they tell each other.  No I/O."""
+"""One balancer's shares of what all may do together, divided evenly or as they tell each other.  No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-MIN_SHARE = 1e-9  # of a share: one of nothing is as good as none
-BURST_S = 1.0  # what a rate makes is saved for so long, but one at least
+MIN_SHARE = 1e-9  # a smaller share counts as this, so that its inverse is finite
+BURST_S = 1.0  # tokens of a rate are saved for this long, but at least one
 MAX_ZONES = 256
 
 
 class TokenBucket:
-    """What a balancer's share of a rate has made and it has not spent."""
+    """The tokens of a rate that a balancer's share has made and that it has not used."""
 
     __slots__ = ("tokens", "updated_at")
 
@@ -19,10 +19,11 @@
 
 
 class BudgetShares:
-    """One balancer's parts of the whole.
+    """One balancer's shares of the common budgets and rates.
 
-    All together spend of a rate, within any time, at most what it makes in it, SAVED_S of it, and one for
-    each process that ran meanwhile: a balancer whose share shrinks keeps what that may have saved, or one.
+    Within any time all balancers together use of a rate at most what it makes in that time, what it makes in
+    BURST_S, and one for each process that ran meanwhile: a balancer whose share shrinks keeps what that share
+    may have saved, or one.
     """
 
     __slots__ = (
@@ -53,30 +54,25 @@
 
     def __init__(self, configured_count: int) -> None:
         self._configured_count, self._processes_per_balancer, self._reported_count = configured_count, 1, 0
-        self.process_count, self.balancer_count = (
-            configured_count,
-            configured_count,
-        )  # so many processes; of them, so many see the same
+        # Processes that the budgets are divided among; balancers that each see an equal part of the load.
+        self.process_count, self.balancer_count = configured_count, configured_count
         self._slow_start_shares: Mapping[bytes, float] = {}
         self._quota_shares: Mapping[int, float] = {}
         self._quota_factors: Mapping[int, float] = {}
-        self._lease_end_us, self._fallback_share = 0, 1.0  # after it, no more than this share of any
-        self.max_unlisted_share = 1.0  # of a cold server not told of, no more than this
-        self._fleet_shortage: float | None = None  # the shortage that all see, if that is known
-        self._fleet_shortage_weight, self._fleet_shortage_until = (
-            1.0,
-            0,
-        )  # its part beside the own; until when it counts
-
-        self.retries_per_s, self.dials_per_s = 0.0, 0.0  # of all together; 0: no bound
-        self.is_limited = False  # by either
+        self._lease_end_us, self._fallback_share = 0, 1.0  # from then on, no more than this share of any
+        self.max_unlisted_share = 1.0  # no more than this of a server in slow start that no report names
+        self._fleet_shortage: float | None = None  # the shortage that all balancers see, if known
+        self._fleet_shortage_weight, self._fleet_shortage_until = 1.0, 0  # beside the own; when it expires
+
+        self.retries_per_s, self.dials_per_s = 0.0, 0.0  # of all balancers together; 0: no limit
+        self.is_limited = False  # by either of them
         self._retry_share: float | None = None
         self._dial_shares: Mapping[int, float] = {}
         self._retry_bucket, self._dial_buckets = TokenBucket(0), dict[int, TokenBucket]()
-        self.rejected_retries, self.rejected_dials = 0, dict[int, int]()  # how often there was none left
+        self.rejected_retries, self.rejected_dials = 0, dict[int, int]()  # how often no token was left
 
     def set_process_count(self, now: int, count: int) -> None:
-        """So many processes are this one instance."""
+        """This many processes make up this one balancer now."""
         self._refill_all(now)
         self._processes_per_balancer = max(1, count)
         self.process_count = self._reported_count or self._configured_count * self._processes_per_balancer
@@ -94,7 +90,7 @@
         fleet_shortage_weight: float = 1.0,
         fleet_shortage_until: int = 0,
     ) -> None:
-        """`roadlb.policy.interface.Heard` has what each means."""
+        """Take the figures of `roadlb.policy.interface.SharedStateUpdate`, which says what each means."""
         self._refill_all(now)
         self._reported_count, self.balancer_count = process_count, process_count or self._configured_count
         self.process_count = process_count or self._configured_count * self._processes_per_balancer
@@ -111,14 +107,17 @@
         )
 
     def slow_start_divisor(self, now: int, server: bytes) -> float:
-        """Among how many a cold server's budget is divided, in our share's terms: 1 / share."""
+        """Return 1 / (this process's share of what all may send to a server in slow start)."""
         if server not in self._slow_start_shares:
             return max(self.process_count, 1 / self.max_unlisted_share)
         return self._divisor(now, self._slow_start_shares.get(server))
 
     def quota_divisor(self, now: int, tenant: int) -> float:
-        """The same for a customer's quota, as the settings have it."""
-        divisor, factor = self._divisor(now, self._quota_shares.get(tenant)), self._quota_factors.get(tenant)
+        """Return 1 / (this process's share of a tenant's quota, as the settings have that)."""
+        divisor, factor = (
+            self._divisor(now, self._quota_shares.get(tenant)),
+            self._quota_factors.get(tenant),
+        )
         return divisor if factor is None else divisor / max(factor, MIN_SHARE)
 
     def _divisor(self, now: int, share: float | None) -> float:
@@ -129,7 +128,8 @@
         return 1 / max(share, MIN_SHARE)
 
     def shortage(self, now: int, local_shortage: float) -> float:
-        """The share of the demand that there is no room for, where this balancer sees `alone`."""
+        """Return the share of the demand that there is no capacity for, where this balancer sees
+        `local_shortage`."""
         if self._fleet_shortage is None or self._fleet_shortage_until and now >= self._fleet_shortage_until:
             return local_shortage
         return local_shortage + self._fleet_shortage_weight * (self._fleet_shortage - local_shortage)
@@ -145,19 +145,16 @@
         dials_per_s: float,
         dial_shares: Mapping[int, float],
     ) -> None:
-        """The rest of `Heard`, told after the other figures."""
+        """Take the other figures of the same event; to be called after `update`."""
         if not self.retries_per_s:
             self._retry_bucket = TokenBucket(now)
-        self.max_unlisted_share, self.is_limited = (
-            max_unlisted_share,
-            retries_per_s > 0 or dials_per_s > 0,
-        )
+        self.max_unlisted_share, self.is_limited = max_unlisted_share, retries_per_s > 0 or dials_per_s > 0
         self.retries_per_s, self._retry_share = retries_per_s, retry_share
         self.dials_per_s, self._dial_shares = dials_per_s, dial_shares
-        self._refill_all(now)  # a share that shrank has less saved
+        self._refill_all(now)  # a share that shrank has fewer tokens saved
 
     def may_retry(self, now: int) -> bool:
-        """May one more attempt be made for a request that has had one?"""
+        """Return whether one more attempt may be made for a request that has had one."""
         if not self.retries_per_s:
             return True
         self._refill(now, self._retry_bucket, self.retries_per_s, self._retry_share)
@@ -167,7 +164,7 @@
         return False
 
     def may_dial(self, now: int, zone: int) -> bool:
-        """May a request go to a hall that is away, by its number?"""
+        """Return whether a request may go to a zone, by its number, that is lost or returning."""
         if not self.dials_per_s:
             return True
         bucket = self._dial_buckets.get(zone)
@@ -182,7 +179,8 @@
         return False
 
     def record_attempt(self, now: int, zone: int, is_away: bool, is_retry: bool) -> None:
-        """An attempt has begun: is its hall away, has its request had one before?"""
+        """An attempt has begun; `is_away`: its zone is lost or returning; `is_retry`: not its request's
+        first."""
         if is_retry and self.retries_per_s:
             self._refill(now, self._retry_bucket, self.retries_per_s, self._retry_share)
             self._retry_bucket.tokens -= 1.0
@@ -190,7 +188,7 @@
             self._dial_buckets[zone].tokens -= 1.0
 
     def _refill_all(self, now: int) -> None:
-        """What was made until now was made by the shares that hold now."""
+        """Add what was made until now, by the shares that hold now."""
         if self.retries_per_s:
             self._refill(now, self._retry_bucket, self.retries_per_s, self._retry_share)
         for zone, bucket in self._dial_buckets.items():
@@ -205,6 +203,7 @@
             0, now - max(bucket.updated_at, lease_end_us)
         )
         bucket.tokens = min(
-            max(1.0, rate_per_s * final_share * BURST_S), bucket.tokens + rate_per_s * share_time_us / 1e6
+            max(1.0, rate_per_s * final_share * BURST_S),
+            bucket.tokens + rate_per_s * share_time_us / 1e6,
         )
         bucket.updated_at = max(bucket.updated_at, now)
--- a/roadlb/routing/slow_start_budget.py
+++ b/roadlb/routing/slow_start_budget.py
@@ -1,8 +1,9 @@
-"""How much work a cold server may get from one of many balancers that share nothing, so that together they
-do not push it over.
+"""The budget of work that one balancer may send to a server in slow start.
 
-Each keeps to its part of what servers of that size carry, as far as this one can do that by now, with room
-for chance; or to what it was seen to do.  Times are microseconds, work is in the caller's own unit.
+Many balancers that share nothing send to the same server, and together they must not overload it.  Each one
+keeps to its part of what servers of that size carry, as far as it can estimate that by now, with a margin for
+random variation; or to what it has seen the server do.  Times are in microseconds, work is in the caller's
+own unit.
 """
 
 from __future__ import annotations
@@ -10,54 +11,54 @@
 from collections.abc import Callable
 from math import sqrt
 
-CONFIDENCE_DEVIATIONS = 3.0  # standard deviations of room left in a cold server's budget
-PROVEN_FRACTION = 0.8  # of the multiple of what it was seen to do, a cold server may be sent
-DECAY_FACTOR = 0.9  # of what cold servers did, a second later
-SLOWEST_SERVER_FRACTION = 0.6  # of their pace that each is taken to have: some are slower than the rest
-MIN_WINDOW_REQUESTS = 1.0  # requests in a fall's time that all together may try an unproved one with
+CONFIDENCE_DEVIATIONS = 3.0  # standard deviations of margin left in the budget of a server in slow start
+PROVEN_FRACTION = 0.8  # of what a server has done, times the overload multiple, may be sent to it
+DECAY_FACTOR = 0.9  # a second later, what servers in slow start have done counts this much
+SLOWEST_SERVER_FRACTION = 0.6  # of the common throughput, assumed of each server: some are slower than others
+MIN_WINDOW_REQUESTS = 1.0  # in an overload window, from all balancers to a server that has proven nothing
 
 
 def lower_confidence_bound(count: float, deviations: float) -> float:
-    """The mean of a count that by chance stays below `count`, but for so many deviations."""
+    """Return the mean at which a random count stays below `count`, with this many standard deviations of
+    margin: mean + deviations * sqrt(mean) = count."""
     return float((sqrt(count + deviations * deviations / 4) - deviations / 2) ** 2)
 
 
 class CapacityThroughput:
-    """What cold servers do for this balancer, for their size and warmth: work done over the time in hand.
+    """What servers in slow start do for this balancer: work done per unit of capacity and time in use.
 
-    All warm alike, so one pace stands for all of them, whoever met one of them seldom.  A time proves a rate
-    that need not be sent for it.  Open requests count with the time they have taken: else the quick ones,
-    whose answers come first, would stand for all.  Waiting counts like work, so the pace errs below.
+    They all warm up alike, so one estimate stands for all of them, also for one that this balancer has seldom
+    sent to.  The time that an answer took proves a rate, though no requests were sent at that rate.  Requests
+    in flight count with the time that they have taken so far: otherwise the quick ones, whose answers come
+    first, would stand for all.  Time in a queue counts like work, so the estimate errs on the low side.
     """
 
     __slots__ = ("_answer_count", "_capacity_in_use", "_capacity_time", "_updated_at", "_work_done")
 
     def __init__(self) -> None:
-        self._work_done, self._answer_count = 0.0, 0.0  # work answered, in so many answers
-        self._capacity_in_use, self._capacity_time, self._updated_at = (
-            0.0,
-            0.0,
-            0,
-        )  # capacity in hand; its time till `_at`, us
+        self._work_done, self._answer_count = 0.0, 0.0
+        # Capacity with a request in flight; its product with time until `_updated_at`, in microseconds.
+        self._capacity_in_use, self._capacity_time, self._updated_at = 0.0, 0.0, 0
 
     def add_in_use(self, now: int, capacity: float) -> None:
-        """A request is in hand at a server of this capacity; with the capacity negative, no more."""
+        """Record that a request is in flight at a server of this capacity; if negative, that it has ended."""
         self._capacity_time += self._capacity_in_use * (now - self._updated_at)
         self._updated_at, self._capacity_in_use = now, self._capacity_in_use + capacity
 
     def record_completed(self, work: float) -> None:
-        """It was done."""
+        """Record a request that was answered well."""
         self._work_done += work
         self._answer_count += 1
 
     def decay(self) -> None:
-        """Once a second: what was is worth less than what is."""
+        """Reduce the weight of the past; called once a second."""
         self._work_done *= DECAY_FACTOR
         self._answer_count *= DECAY_FACTOR
         self._capacity_time *= DECAY_FACTOR
 
     def lower_bound(self, now: int) -> float:
-        """Work a second that any of them can do for a capacity of 1, but for chance; 0 before an answer."""
+        """Return the work a second that any of the servers can do per unit of capacity, with a margin for
+        random variation; 0 before the first answer."""
         capacity_time = self._capacity_time + self._capacity_in_use * (now - self._updated_at)
         if self._answer_count <= 0 or capacity_time <= 0:
             return 0.0
@@ -66,21 +67,23 @@
 
 
 class SlowStartBudget:
-    """One server's budget with one balancer, for as long as the server is cold."""
+    """One balancer's budget for one server, for as long as the server is in slow start."""
 
     __slots__ = ("_proven_at", "_proven_work", "_remaining_work", "_updated_at", "rejected_count")
 
     def __init__(self) -> None:
-        self.rejected_count = 0  # times that there was no room
-        self._remaining_work, self._updated_at = 0.0, 0  # work that it may still be sent; 0: never asked for
-        self._proven_work, self._proven_at = 0.0, 0  # work that it has done for this balancer lately
+        self.rejected_count = 0  # how often the budget was used up
+        self._remaining_work, self._updated_at = 0.0, 0  # work that may still be sent; 0: never asked for
+        self._proven_work, self._proven_at = 0.0, 0  # work recently done for this balancer
 
     def spend(self, work: float) -> None:
         self._remaining_work -= work
 
     def record_completed(self, now: int, work: float, overload_window_us: int) -> float:
-        """It has done this for us: so much at least it can do.  The sum of late, fading with the fall's
-        time."""
+        """Record work that the server has done for this balancer, and can do again.
+
+        Return the sum of recent work, which decays over the time of the overload window.
+        """
         self._proven_work = self._proven_work / (1 + (now - self._proven_at) / overload_window_us) + work
         self._proven_at = now
         return self._proven_work
@@ -96,12 +99,13 @@
         work: float,
         draw: Callable[[], float],
     ) -> float:
-        """What is left for a request of `work`, if that is over 0.
+        """Return what would be left after a request of `work`, which may be sent if that is over 0.
 
-        `carries`: work a second that all balancers together send a server of its size and warmth; `parts`:
-        among how many it is divided; `mean`: of one request's work; `multiple`, `fall_us`: it falls if sent
-        so many times what it can do for so long; `chance()`: 0..1, each balancer's own, so that their first
-        requests fall apart.
+        `work_per_s`: what all balancers together send a server of its size and progress in slow start;
+        `divisor`: by how much the budget is divided among them; `mean_work`: of one request;
+        `overload_multiple`, `overload_window_us`: the server is overloaded if it is sent this multiple of
+        what it can do for this long; `draw()`: a random number 0..1, each balancer's own, so that the first
+        requests of different balancers do not arrive together.
         """
         window_requests = overload_multiple * work_per_s * overload_window_us / 1e6 / mean_work
         proven_requests = (
--- a/tests/policy/slow_start_fleet.py
+++ b/tests/policy/slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of independent balancers in simulated time, and all that they together send to cold servers."""
+"""A fleet of independent balancers in simulated time, and all that they send to servers in slow start."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
     RequestClass("order", 700_000, 2 * SECOND, 10.0, effect=Effect.UNSAFE),
     RequestClass("keyed", 600_000, 2 * SECOND, 4.0, effect=Effect.KEYED, window_us=5 * SECOND),
 )
-CLASS_SHARES = (0.7, 0.15, 0.15)  # of the requests
+CLASS_SHARES = (0.7, 0.15, 0.15)  # of the requests, by class
 CLASS_WORK_US = (15_000, 60_000, 40_000)  # on average
 MEAN_WORK_US = sum(part * work for part, work in zip(CLASS_SHARES, CLASS_WORK_US, strict=True))
-MAX_WAITING = 40  # a server with so many requests waiting has no room
-ROUND_TRIP_US = 1_000  # on the way there and back
+MAX_WAITING = 40  # a server with this many requests waiting refuses more as full
+ROUND_TRIP_US = 1_000  # both ways over the network
 
 
 @dataclass
 class Backend:
-    """A server that does one request after the other, as fast as it is warm."""
+    """A server that does one request after the other, at the speed of its progress in slow start."""
 
     id: bytes
     zone: int
@@ -49,14 +49,14 @@
     is_listed_ready: bool = True
     is_reachable: bool = True
     idle_from: int = 0
-    finish_times: list[int] = field(default_factory=list)  # when each will be done
-    # Since its start: when, how many requests of mean work, by one that had been told of the start?
+    finish_times: list[int] = field(default_factory=list)  # when each request will be done
+    # Since its start: when, how many requests of mean work, whether their balancer knew of the start.
     sent: list[tuple[int, float, bool]] = field(default_factory=list)
-    work_done: float = 0.0  # likewise, of those in time
+    work_done: float = 0.0  # requests of mean work since its start, done in time
 
 
 class Fleet:
-    """`shares`: of the traffic, for each balancer."""
+    """`shares`: the part of the traffic of each balancer."""
 
     def __init__(
         self, seed: int, shares: list[float], servers: int, requests_per_s: float, **settings: object
@@ -73,22 +73,19 @@
             **settings,
         }
         self.now = 100 * SECOND
-        self.events: list[tuple[int, int, int, object]] = []  # time, number, process (-1: the fleet), event
+        # Time, sequence number, process (-1: the fleet), event.
+        self.events: list[tuple[int, int, int, object]] = []
         self.event_count = self.request_count = 0
         self.requests_per_s = requests_per_s
         self.servers: dict[bytes, Backend] = {}
-        self.former_processes: list[
-            tuple[Backend, int]
-        ] = []  # former lives of servers, with the start of each
+        self.former_processes: list[tuple[Backend, int]] = []  # of servers, with the start of each
         for i in range(servers):
             self.add_server(b"warm%02d" % i, i % 3, started_at=0)
         self.processes: list[Balancer | None] = []
         self.traffic_shares: list[float] = []
-        self.known_starts: list[
-            dict[bytes, int]
-        ] = []  # by process: the starts of servers that it was told of
+        self.known_starts: list[dict[bytes, int]] = []  # by process: the server starts that its list has
         self.attempts: dict[tuple[int, int], list[tuple[Backend, int, bool]]] = {}
-        self.request_classes: dict[int, tuple[int, int]] = {}  # request: class, its work
+        self.request_classes: dict[int, tuple[int, int]] = {}  # request: class, work in microseconds
         for share in shares:
             self.start_process(share)
 
@@ -101,7 +98,7 @@
         )
 
     def restart_server(self, id: bytes) -> None:
-        """The same address, a new process: what it had is lost."""
+        """Start a new process at the same address; the requests of the former one are lost."""
         old = self.servers[id]
         self.former_processes.append((old, old.started_at))
         self.servers[id] = Backend(id, old.zone, old.requests_per_s, self.now)
@@ -121,7 +118,7 @@
         ]
 
     def send_list(self, max_delay_us: int = 0, to: int | None = None) -> None:
-        """Each process gets the list as it is now, after a time of its own."""
+        """Send each balancer process the list as it is now, each after its own random delay."""
         for i in range(len(self.processes)) if to is None else (to,):
             self.schedule(
                 self.now + int(self.random.random() * max_delay_us),
@@ -130,7 +127,7 @@
             )
 
     def start_process(self, share: float, has_list: bool = True) -> int:
-        """Another process, with so much of the traffic."""
+        """Start another balancer process with this share of the traffic."""
         number = len(self.processes)
         self.processes.append(Balancer(Settings(**self.settings), self.random.randrange(1 << 30)))  # type: ignore[arg-type]
         self.traffic_shares.append(share)
@@ -150,7 +147,7 @@
         heapq.heappush(self.events, (at, self.event_count, process, event))
 
     def run(self, seconds: float, rate: float) -> None:
-        """So many requests a second in all, at random moments."""
+        """Send `rate` requests a second in all, at random times."""
         end = self.now + int(seconds * SECOND)
         at = self.now
         while (at := at + int(self.random.expovariate(rate) * SECOND) + 1) < end:
@@ -182,7 +179,7 @@
                 self.schedule(max(action.at_us, self.now), number, TimerFired(action.token))
             elif isinstance(action, Send):
                 self.start_attempt(number, action)
-            elif isinstance(action, Cancel) and not action.unsent:  # here an attempt begins at once
+            elif isinstance(action, Cancel) and not action.unsent:  # here attempts are written at once
                 self.schedule(
                     self.now + ROUND_TRIP_US,
                     number,
@@ -224,17 +221,17 @@
             Outcome(send.request, attempt, send.server, status, latency_us, closed),
         )
 
-    # What is judged
+    # What is measured
 
     def capacity_share(self, server: Backend, at: int) -> float:
-        """What the settings say that it can do by then, of what it can do when warm."""
+        """Return the part of its warm capacity that the settings say it has at that time."""
         if not server.started_at:
             return 1.0
         from_, us = float(self.settings["cold_from"]), int(self.settings["cold_us"])  # type: ignore[call-overload, arg-type]
         return min(1.0, from_ + (1 - from_) * (at - server.started_at) / us)
 
     def allowed_requests(self, server: Backend, at: int) -> float:
-        """N: requests of mean work in a window that begins then."""
+        """Return N, the requests of mean work allowed in a window that begins then."""
         window_s = int(self.settings["fall_us"]) / SECOND  # type: ignore[call-overload]
         return (
             float(self.settings["fall_multiple"])
@@ -244,9 +241,9 @@
         )  # type: ignore[arg-type]
 
     def worst_window(self) -> tuple[float, float, float]:
-        """Of all windows of all cold servers, the largest (of what may be sent, its sum, N).
+        """Return the worst window of all servers in slow start: (part of the maximum, work sent, N).
 
-        Where a third or more came from those that had not been told of the start, no rule is broken.
+        A window breaks no rule if a third or more came from balancers that did not know of the start.
         """
         worst = (0.0, 0.0, 0.0)
         window_us = int(self.settings["fall_us"])  # type: ignore[call-overload]
@@ -272,7 +269,7 @@
         return worst
 
     def used_share(self) -> float:
-        """What cold servers did, of what they could have done since their start."""
+        """Return what the servers in slow start did, of what they could have done since their start."""
         new_servers = [s for s in self.servers.values() if s.started_at]
         possible = 0.0
         for server in new_servers:
@@ -286,5 +283,6 @@
 
 
 def max_requests(n: float) -> float:
-    """What may be sent in a window for which the settings allow `n`, with the rule's room for chance."""
+    """Return what may be sent in a window for which the settings allow `n`, with the rule's margin for random
+    variation."""
     return float(n + 3 * n**0.5 + 3 if n < 30 else n + 2 * n**0.5 + 2)
--- a/tests/policy/test_changed.py
+++ b/tests/policy/test_changed.py
@@ -1,4 +1,4 @@
-"""Settings that change while requests are open: each key with the failure that it would be for."""
+"""Settings that change while requests are open, with the failure that each change must not cause."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def harness_ready_to_hedge(**settings: object) -> BalancerUnderTest:
-    """Whose next request that is not answered gets a copy."""
+    """Return a balancer that has seen enough answers to hedge its next request if that is not answered."""
     harness = BalancerUnderTest(**settings)  # type: ignore[arg-type]
     for key in range(1, 100):
         harness.serve(key)
@@ -153,7 +153,7 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_an_open_request_obeys_all_rules_since_its_arrival(seed: int) -> None:
-    """Rules at random: it is never repeated where any of them forbids it."""
+    """With random rules, a request is never repeated where any rule since its arrival forbids that."""
     random = Random(seed)
     for _ in range(20):
         rules = [
@@ -214,7 +214,7 @@
 
 
 def count_refusals(harness: BalancerUnderTest, count: int) -> list[int]:
-    """Of each class of `CLASSES`, in turn, how many are refused while half of all must go."""
+    """Return how many of each class in `CLASSES` are refused while half of the requests must be refused."""
     refused = [0, 0]
     for i in range(count):
         harness.feed(Shortage(0.5))
@@ -237,8 +237,8 @@
     ],
 )
 def test_a_ranking_changed_during_overload_counts_requests_anew(changed_settings: dict[str, object]) -> None:
-    """What was counted under the former one would let the class that is to go first pass for seconds, as its
-    new rank is empty, or refuse all of it, as that rank was full."""
+    """Counts made under the former ranking would admit the class that is now refused first for seconds, as
+    its new rank is empty, or refuse all of it, as that rank was full."""
     harness = BalancerUnderTest(
         classes=CLASSES, tenants=[Tenant("a", 9e9), Tenant("b", 0.0)], over_share_worth=1.0
     )
@@ -247,7 +247,7 @@
     change_settings(harness, **changed_settings)
     refused_after = count_refusals(harness, 40)
     assert 10 <= sum(refused_after) <= 30 and refused_after[1] >= 2 * refused_after[0], (
-        "the share holds, from the first on"
+        "the share is not kept right after the change"
     )
     refused_later = count_refusals(harness, 400)
     assert refused_later[0] <= 4 and refused_later[1] > 180
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -1,4 +1,4 @@
-"""Each decision on a small case; every failure met on the bench has its test here."""
+"""Each decision of the policy in a small case, with a test for every failure seen in simulated runs."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class BalancerUnderTest:
-    """A balancer with a clock and the timers it asked for."""
+    """One balancer's policy with a clock and the timers that it has set."""
 
     def __init__(
         self, servers: int = 6, seed: int = 1, born: int = 0, weight: float = 1.0, **settings: object
@@ -114,16 +114,16 @@
 
 
 def test_requests_without_a_key_use_one_server_set_for_each_balancer() -> None:
-    # Each was sent anywhere: a balancer held connections to all servers and dialled for nearly every request.
+    # Sent to random servers, they made a balancer keep connections to all of them and dial for nearly every
+    # request.
     first_servers = []
     for instance in range(60):
         runs = [BalancerUnderTest(seed=seed, instance=instance, instances=60) for seed in (1, 2)]
         served = {harness.serve() for harness in runs for _ in range(50)}
         assert len(served) == 1
         first_servers.append(served.pop())
-    assert all(
-        first_servers.count(server) >= 3 for server in runs[0].server_ids
-    )  # of 60 balancers, 10 in the mean
+    # Of 60 balancers 10 use each server on average.
+    assert all(first_servers.count(server) >= 3 for server in runs[0].server_ids)
 
 
 def test_the_server_set_of_requests_without_a_key_grows_under_load() -> None:
@@ -178,7 +178,8 @@
 
 
 def test_a_keyed_retry_keeps_to_the_group_of_the_attempt_that_may_have_run() -> None:
-    # The first attempt never ran: its cell must not bind the third (seen on san-jose-rating, duplicate).
+    # A first attempt that never ran must not restrict the third one to its cell: when it did, requests ran
+    # twice (san-jose-rating).
     harness = BalancerUnderTest(servers=12, classes=one_class(Effect.KEYED, Group.CELL), max_attempts=6)
     cell = {s: i // 2 for i, s in enumerate(harness.server_ids)}
     cell_changes = 0
@@ -204,7 +205,7 @@
 
 
 def test_a_server_that_fails_fast_is_ejected_and_tried_again_later() -> None:
-    # Least in flight loves a server that fails at once.
+    # A server that fails at once has the fewest requests in flight, and would attract the most.
     harness = BalancerUnderTest()
     failing_server = harness.serve(7)
     for _ in range(3):
@@ -226,7 +227,7 @@
 
 
 def test_spoilt_answers_at_all_servers_make_none_suspect_for_orders() -> None:
-    # Taken for failures, they made every server suspect for 3 s on the bench, and orders were refused.
+    # Counted as failures, they made every server suspect for 3 s in simulated runs, and orders were refused.
     harness = BalancerUnderTest(servers=6, max_attempts=1, classes=one_class(Effect.UNSAFE))
     for key in range(1, 300):
         (send,) = harness.send_request(key)
@@ -283,7 +284,7 @@
 
 
 def test_load_shedding_refuses_the_same_keys_on_all_balancers() -> None:
-    # A random choice lets every key through now and then, and no cache stays warm (incident ie13857).
+    # A random choice admits every key now and then, so that no cache stays warm (incident ie13857).
     shed = []
     for seed in (1, 2):
         harness = BalancerUnderTest(seed=seed, max_attempts=1)
@@ -294,8 +295,8 @@
 
 
 def test_a_burst_beyond_capacity_is_shed_and_unanswered_requests_stop_counting() -> None:
-    # Pressure that nothing lowered refused for seconds (cardiff-main, rough-2), here with a single key that
-    # is shed itself; and what a dead server holds is no sign of work.
+    # A shortage that nothing lowered caused refusals for seconds (cardiff-main, rough-2), here with a single
+    # key that is shed itself.  Requests at a dead server are no sign of load.
     harness, refused = BalancerUnderTest(classes=one_class(Effect.UNSAFE)), 0
     for _ in range(100):
         harness.finish(harness.request_server())
@@ -313,7 +314,7 @@
 
 
 def test_a_site_decision_is_logged_once() -> None:
-    # What `handle` of the sites gave was added to the list that it had come from, and so said twice.
+    # The actions of the sites were appended to the very list that they came from, and so logged twice.
     harness = BalancerUnderTest(servers=0)
     harness.feed(ListUpdate(ListKind.FULL, [Member(bytes([n]), zone=n % 2) for n in range(4)]))
     logged = [a for a in harness.feed(SiteWord(1, out=True)) if isinstance(a, Log)]
@@ -335,7 +336,7 @@
 
 
 def test_a_fleet_entirely_in_slow_start_gets_a_few_requests() -> None:
-    # With nothing carried that could tell what a node can do, nobody got anything until all were warm.
+    # With no traffic that could show what a server can do, no server got anything until all were warm.
     balancers = [
         BalancerUnderTest(
             servers=1,
@@ -353,13 +354,15 @@
         for n in balancers:
             n.advance(now - n.now)
             if any(isinstance(a, Send) for a in n.send_request(key=now)):
-                sent.append(now)  # and nothing is ever answered, so that nothing is proved
+                sent.append(now)  # nothing is ever answered, so that nothing is proven
     assert len(sent) >= 5
-    assert all(sum(at <= t < at + SECOND for t in sent) <= 4 for at in sent)  # three first ones by chance
+    assert all(
+        sum(at <= t < at + SECOND for t in sent) <= 4 for at in sent
+    )  # the first requests of all three may coincide
 
 
 def test_a_server_in_slow_start_gets_this_balancers_part_of_the_budget() -> None:
-    # All nodes together must not push it over; one node keeps to its part without asking others.
+    # All balancers together must not overload it; each keeps to its part without asking the others.
     harness = BalancerUnderTest(servers=6, cold_us=20 * SECOND, cold_from=0.2, instances=4)
     new_server = bytes([10, 9, 9, 9, 0, 80])
     took = {}
@@ -375,8 +378,10 @@
 
 
 def send_under_shortage(harness: BalancerUnderTest, requests: int, quick_server: bytes = b"") -> list[bytes]:
-    """Where requests go, one in 4 ms, each answered after 2 ms, while nearly all are refused.  With `quick`
-    answers of other servers count as having taken a hundred times as long."""
+    """Return the servers of requests sent every 4 ms, each answered after 2 ms, while nearly all are refused.
+
+    With `quick`, answers of all other servers are reported to have taken a hundred times as long.
+    """
     harness.feed(Heard(pressure=0.95))
     servers = []
     for key in range(1, requests + 1):
@@ -393,8 +398,8 @@
 
 @pytest.mark.parametrize("reduced", ["cold", "suspect"])
 def test_requests_otherwise_refused_go_to_an_underused_server(reduced: str) -> None:
-    # A hall back from a loss did 0.3 of what it could, while 0.7 of the demand was refused for want of room;
-    # and where all reads are refused, nothing clears a suspect server, which orders keep away from.
+    # A zone back from a loss did 0.3 of what it could, while 0.7 of the demand was refused for lack of
+    # capacity.  And where all reads are refused, no good answer clears a suspect server, which orders avoid.
     harness = BalancerUnderTest(servers=6, cold_us=20 * SECOND, cold_from=0.2)
     for key in range(1, 501):
         harness.serve(key)
@@ -407,11 +412,12 @@
     servers = send_under_shortage(harness, 500)
     others = len(servers) - servers.count(server)
     assert servers.count(server) > (10 if reduced == "cold" else 2)
-    assert others < 40  # 0.05 of 500, and what chance adds
+    assert others < 40  # 0.05 of 500, and random variation
 
 
 def test_a_server_in_slow_start_may_get_more_light_requests() -> None:
-    # Counted by heads, a cold hall got as many reads a second as the others got orders, six times as heavy.
+    # Counted by requests instead of work, a zone in slow start got as many reads a second as the others got
+    # orders, which take six times the work.
     took = []
     for light, heavy in ((0, 1), (1, 0)):
         harness = BalancerUnderTest(
@@ -435,7 +441,8 @@
 
 
 def test_quick_answers_in_slow_start_cause_no_hedges_at_warm_servers() -> None:
-    # A tenth of what went to warm nodes were copies, as the reads on cold ones had shortened the usual time.
+    # A tenth of the attempts at warm servers were hedges, as reads at servers in slow start had shortened the
+    # usual latency.
     harness = BalancerUnderTest(servers=6, cold_us=20 * SECOND, cold_from=0.6)
     for key in range(1, 201):
         harness.finish(harness.request_server(key), latency_us=200_000)
@@ -477,7 +484,8 @@
 
 
 def test_a_server_set_grows_before_its_server_has_twice_the_mean_load() -> None:
-    # Busy servers drowned at under twice the mean while the rest idled, and the node shed (incident i0633d8).
+    # Busy servers were overloaded at under twice the mean while the others idled, and the balancer shed load
+    # (incident i0633d8).
     harness = BalancerUnderTest(servers=4)
     first_server = harness.balancer.list.servers[harness.serve(7)]
     for s in harness.balancer.list.ready:
@@ -489,7 +497,8 @@
 
 
 def test_server_sets_grow_by_reported_queues_where_own_requests_tell_nothing() -> None:
-    # Of 200 balancers each has a tenth of a request where twenty wait; hot keys pushed their few nodes over.
+    # Each of 200 balancers has a tenth of a request in flight where twenty wait, so that hot keys overloaded
+    # their few servers.
     harness = BalancerUnderTest(
         servers=40,
         instances=200,
@@ -511,7 +520,7 @@
     crowded_servers |= {serve(7)}
     for _ in range(120):
         crowded_servers |= {serve(7)} if len(crowded_servers) < 12 else set()
-    assert len(crowded_servers) == 12, "beyond the first eight of its order too"
+    assert len(crowded_servers) == 12, "beyond the first eight candidates too"
     assert len({serve(7) for _ in range(50)} - crowded_servers) > 0
     member_count = len(harness.balancer.sets[7].members)
     assert member_count <= 16 and all(len(harness.balancer.sets[key].members) == 1 for key in range(560, 600))
@@ -533,7 +542,7 @@
 
 
 def test_a_reported_queue_ages() -> None:
-    # Nothing was sent to where a long queue was reported, so nothing could tell of its end (reload, 12 s).
+    # Nothing was sent to a server that had reported a long queue, so no report showed its end (reload, 12 s).
     harness = BalancerUnderTest(servers=2, report_source="inline", report_fields=("queue",))
     server = harness.request_server()
     harness.feed(Outcome(harness.last_request, 0, server, Status.OK, 20_000, True, (30.0,)))
@@ -546,7 +555,7 @@
 
 
 def test_shedding_stops_soon_after_answers_are_quick_again() -> None:
-    # It fell by 0.1 a second, so that most requests were refused for 9 s after an overload (reload).
+    # Reduced by 0.1 a second, it made most requests be refused for 9 s after an overload (reload).
     harness = BalancerUnderTest()
     refuse_as_full(harness, 5)
     for _ in range(50):
@@ -574,7 +583,7 @@
 
 
 def test_a_server_is_no_longer_suspect_after_good_answers() -> None:
-    # With a reset now and then at each, most servers were suspect, and the rest drowned in orders (churn).
+    # With a reset now and then at each, most servers were suspect, and orders overloaded the others (churn).
     harness = BalancerUnderTest(servers=2, classes=one_class(Effect.UNSAFE))
     failing_server = harness.request_server()
     harness.finish(failing_server, Status.RESET)
@@ -587,8 +596,8 @@
 
 
 def test_a_server_that_refuses_all_work_gets_ever_less_and_causes_no_shedding() -> None:
-    # It drained and was not known to: with nothing in flight it drew half of all attempts, and each one
-    # turned away raised the pressure, till 95% were refused by an idle fleet (churn, 38 to 47 s).
+    # The server drained and the list did not say so: with nothing in flight it drew half of all attempts, and
+    # each refusal raised the shortage, until an idle fleet refused 95% (churn, 38 to 47 s).
     harness, refusal_count = BalancerUnderTest(servers=4), 0
     for _ in range(500):
         (send,) = harness.send_request(harness.last_request % 97 + 1)
@@ -606,7 +615,7 @@
 
 
 def test_key_sets_are_bounded_and_the_least_recently_used_is_removed() -> None:
-    # The oldest went, though it might be the most asked for; most keys of a long day are new.
+    # The oldest set was removed, though it might be the most used; in a long run most keys are new.
     harness = BalancerUnderTest(servers=4)
     for key in range(2, 2 * MAX_SETS):
         harness.serve(key)
--- a/tests/policy/test_late_events.py
+++ b/tests/policy/test_late_events.py
@@ -1,4 +1,4 @@
-"""Events that cross: what comes late finds its request over, or its server gone, and begins nothing."""
+"""Events that come late find their request over or their server gone, and start nothing."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 def test_a_client_that_leaves_cancels_an_attempt_that_is_still_being_dialled(
     cancelling: bool, unsent: bool
 ) -> None:
-    # Where servers are not cancelled an attempt runs on; one of which nothing is written must not begin.
+    # Without cancelling a started attempt runs on, but one of which nothing is written yet must not start.
     harness = BalancerUnderTest(cancelling=cancelling)
     harness.request_server(7)
     assert harness.feed(ClientGone(harness.last_request)) == [Cancel(harness.last_request, 0, unsent=unsent)]
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("effect", list(Effect))
 def test_an_answer_that_has_started_is_not_retried_elsewhere(effect: Effect) -> None:
-    # Its client has the head of it, and a second one would be taken for the rest.
+    # The client already has the head of the first answer and would take a second answer for its body.
     harness = BalancerUnderTest(classes=one_class(effect), second_copies=False)
     server = harness.request_server(7)
     harness.feed(StreamStarted(harness.last_request, 0, server, 1000))
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
 @pytest.mark.parametrize("effect", list(Effect))
 def test_an_attempt_still_being_dialled_leaves_a_draining_server(effect: Effect, state: ServerState) -> None:
-    # A dial may take longer than the second for which new work may still go there.
+    # Dialling may take longer than the second within which new work may still go to a draining server.
     harness = BalancerUnderTest(classes=one_class(effect), second_copies=False)
     server = harness.request_server(7)
     drain_server(harness, server, state)
--- a/tests/policy/test_limits.py
+++ b/tests/policy/test_limits.py
@@ -1,4 +1,4 @@
-"""The module stays short enough to be ported by hand."""
+"""The policy's main module stays short enough to be ported by hand."""
 
 from pathlib import Path
 
--- a/tests/policy/test_many_balancers.py
+++ b/tests/policy/test_many_balancers.py
@@ -1,4 +1,4 @@
-"""What many balancers do together, each of which sees a small part: sums over all, in simulated time."""
+"""What many balancers that each see a small part do in total, in simulated time."""
 
 from __future__ import annotations
 
@@ -30,22 +30,23 @@
 SECOND = 1_000_000
 COLD_FROM, COLD_US, OVERLOAD_MULTIPLE = 0.2, 20 * SECOND, 3.0
 KEEP_US = 7 * SECOND
-SERVER_REQUESTS_PER_S = 16  # requests a second that a warm server carries
+SERVER_REQUESTS_PER_S = 16  # that a warm server can do
 
 
 class BalancerFleet:
     """Balancers that share nothing but the servers; a server answers each request after 50 ms.
 
-    No answer is near its aim, so nothing is shed: these servers do at once whatever they are sent, and cold
-    ones, which get what would be refused, would prove by it that they can do ever more.  Each balancer has a
-    pool: the connection that rests for the shortest time is taken first, one is kept for KEEP.
+    No answer takes nearly as long as its latency target, so nothing is shed.  Otherwise servers in slow start
+    would get what would be refused and, as these servers do at once whatever they are sent, would prove that
+    they can do ever more.  Each balancer has a connection pool: the connection that has been idle for the
+    shortest time is taken first, and an idle one is kept for KEEP_US.
     """
 
     def __init__(self, balancer_count: int, warm: int, seed: int, **settings: Any) -> None:
         self.dial_count, self.idle_at = 0, [dict[bytes, list[int]]() for _ in range(balancer_count)]
         self.now, self.random, self.event_count, self.request_count = 60 * SECOND, random.Random(seed), 0, 0
-        self.queue: list[tuple[int, int, int, object]] = []  # time, number, balancer, event
-        self.sent_at: dict[bytes, list[int]] = {}  # by server, when
+        self.queue: list[tuple[int, int, int, object]] = []  # time, sequence number, balancer, event
+        self.sent_at: dict[bytes, list[int]] = {}  # by server: when each attempt was sent
         self.balancers = [
             Balancer(
                 Settings(
@@ -76,7 +77,7 @@
             elif isinstance(a, Send):
                 self.sent_at.setdefault(a.server, []).append(self.now)
                 idle = self.idle_at[i].setdefault(a.server, [])
-                free = bisect_right(idle, self.now)  # the others still carry a request
+                free = bisect_right(idle, self.now)  # the others still have a request in flight
                 if not free or idle.pop(free - 1) < self.now - KEEP_US:
                     self.dial_count += 1
                 insort(idle, self.now + 50_000)
@@ -87,7 +88,7 @@
         heapq.heappush(self.queue, (at, self.event_count, i, event))
 
     def run(self, seconds: float, rate: float) -> None:
-        """So many requests a second in all, at random moments, to random balancers, a few keys far ahead."""
+        """Send `rate` requests a second in all, at random times, to random balancers; a few keys dominate."""
         end = self.now + int(seconds * SECOND)
         for _ in range(int(seconds * rate)):
             self.request_count += 1
@@ -105,8 +106,8 @@
 
 @pytest.mark.parametrize("balancer_count", [1, 3, 12, 40])
 def test_all_balancers_together_use_a_server_in_slow_start_within_its_budget(balancer_count: int) -> None:
-    # Each keeps to its part of one budget.  With a budget a third as large, forty balancers, none of which
-    # sees enough to prove more, used a tenth of what twelve cold servers of twenty could do.
+    # Each balancer keeps to its part of one budget.  With a budget a third as large, forty balancers, none of
+    # which sees enough to prove more, used a tenth of what twelve of twenty servers, in slow start, could do.
     fleet = BalancerFleet(balancer_count, warm=8, seed=balancer_count)
     fleet.run(8, rate=8 * SERVER_REQUESTS_PER_S)
     started_at, new_servers = fleet.now, [b"cold%d" % i for i in range(12)]
@@ -127,12 +128,11 @@
 
 
 class SheddingFleet(BalancerFleet):
-    """Two classes, seven reads of 15 ms of work to three orders of 95; a server does one after the other."""
+    """Seven reads of 15 ms of work to three orders of 95 ms; a server does one request after the other."""
 
     CLASS_WORK_US = (15_000, 95_000)
-    WORK_PER_US = (
-        SERVER_REQUESTS_PER_S * (0.7 * CLASS_WORK_US[0] + 0.3 * CLASS_WORK_US[1]) / SECOND
-    )  # of a warm one
+    # Work that a warm server does a microsecond.
+    WORK_PER_US = SERVER_REQUESTS_PER_S * (0.7 * CLASS_WORK_US[0] + 0.3 * CLASS_WORK_US[1]) / SECOND
 
     def __init__(self, balancer_count: int, warm: int, seed: int) -> None:
         super().__init__(
@@ -147,12 +147,12 @@
         self.class_of_request: dict[int, int] = {}
         self.work: dict[bytes, list[tuple[int, int]]] = {}
         self.started_at, self.busy_until = 0, dict[bytes, int]()
-        self.capacity_factors: dict[bytes, float] = {}  # those that can do only this part
-        self.unreachable: frozenset[bytes] = frozenset()  # no dial comes up there
+        self.capacity_factors: dict[bytes, float] = {}  # servers with only this part of the usual capacity
+        self.unreachable: frozenset[bytes] = frozenset()  # connections to these fail
         self.last_attempts: dict[int, int] = {}
 
     def capacity_share(self, server: bytes, at: int) -> float:
-        """Of a warm one's capacity."""
+        """Return the part of a warm server's capacity that this one has at that time."""
         part = (
             COLD_FROM + (1 - COLD_FROM) * (at - self.started_at) / COLD_US
             if server.startswith(b"cold")
@@ -189,8 +189,8 @@
 
 @pytest.mark.parametrize("balancer_count", [6, 40])
 def test_a_zone_back_before_the_list_says_so_is_in_slow_start(balancer_count: int) -> None:
-    # A list tells of a start up to 3.4 s late.  Taken for warm, as before the loss, a server was sent 2.9 and
-    # 1.1 times what it can bear while cold.
+    # A list reports a start up to 3.4 s late.  Taken for warm, as before the loss, a server was sent 2.9 and
+    # 1.1 times what it can bear in slow start.
     fleet = SheddingFleet(balancer_count, warm=8, seed=balancer_count)
     zone_servers = [b"cold%d" % i for i in range(4)]
     fleet.started_at = fleet.now - COLD_US  # warm by now
@@ -226,8 +226,8 @@
 
 @pytest.mark.parametrize("balancer_count", [3, 12, 40])
 def test_requests_otherwise_refused_overload_no_server_in_slow_start(balancer_count: int) -> None:
-    # A hall is back, cold, while the rest refuses most: each balancer fills its servers by itself, with what
-    # is light and proves little of what they can do of the heavy.
+    # A zone returns in slow start while most requests are refused at the others: each balancer fills the
+    # zone's servers by itself, with light requests that prove little of what they can do of the heavy ones.
     fleet = SheddingFleet(balancer_count, warm=8, seed=balancer_count)
     fleet.run(8, rate=8 * SERVER_REQUESTS_PER_S)
     fleet.started_at, new_servers = fleet.now, [b"cold%d" % i for i in range(4)]
@@ -255,8 +255,8 @@
 def test_a_fleet_entirely_in_slow_start_is_used_and_no_server_overloaded(
     balancer_count: int, slow_count: int
 ) -> None:
-    # What is carried is then what the budgets let through, and what one of forty has seen proved has faded
-    # before it meets the server again: they stayed at a request a second for each server.
+    # The observed load is then only what the budgets admit, and what one of forty balancers has seen proven
+    # has decayed before it sends to that server again: they stayed at one request a second for each server.
     fleet = SheddingFleet(balancer_count, warm=0, seed=balancer_count)
     fleet.started_at, new_servers = fleet.now, [b"cold%d" % i for i in range(16)]
     fleet.capacity_factors = dict.fromkeys(new_servers[:slow_count], 0.5)
@@ -271,7 +271,9 @@
         for n, (t, _) in enumerate(at):
             sent = sum(took for later, took in at[n:] if later < t + SECOND)
             limit = OVERLOAD_MULTIPLE * fleet.capacity_share(server, t) * fleet.WORK_PER_US * SECOND
-            if slow_count:  # of a size that nobody is told: with what the fall's rule leaves to chance
+            if (
+                slow_count
+            ):  # no balancer knows their size: with the margin of the overload rule for random variation
                 limit += 3 * mean * (1 + (limit / mean) ** 0.5)
             assert sent <= limit, (server, (t - fleet.started_at) / SECOND)
     possible = sum(fleet.capacity_share(s, fleet.now) for s in new_servers) * fleet.WORK_PER_US * 3 * SECOND
@@ -279,7 +281,7 @@
 
 
 def test_a_key_goes_mostly_to_its_own_zone_and_a_removed_server_moves_only_its_keys() -> None:
-    # Crossing costs, and a connection to each of sixty servers costs forty balancers 2,400 handshakes.
+    # Other zones cost more, and connections to each of sixty servers cost forty balancers 2,400 handshakes.
     zone_of = {bytes([i]): i % 3 for i in range(60)}
     balancers = [
         Balancer(Settings(instances=40, zone=zone, cross_zone_cost=cost, second_copies=False), 1)
@@ -301,7 +303,7 @@
         for b, servers in zip(balancers, servers_by_balancer, strict=True)
     ]
     assert all(0.6 < part < 0.75 for part in own_zone_shares[:3]) and own_zone_shares[3] < 0.45
-    assert servers_by_balancer[0] == servers_by_balancer[1]  # balancers of a hall agree
+    assert servers_by_balancer[0] == servers_by_balancer[1]  # balancers of one zone agree
     b = balancers[0]
     b.handle(700 * SECOND, ListUpdate(ListKind.DELTA, [Member(bytes([0]), ServerState.GONE)]))
     for key, before in enumerate(servers_by_balancer[0], 1):
@@ -313,8 +315,8 @@
 
 @pytest.mark.parametrize(("rate", "max_dial_ratio"), [(1, 0.55), (4, 0.4), (16, 0.4)])
 def test_balancers_with_few_requests_use_the_connections_they_have(rate: int, max_dial_ratio: float) -> None:
-    # A balancer that spreads a few requests a second over sixty servers uses each once in many seconds: every
-    # other request had to dial.  What is saved must not cost the servers their even loads.
+    # A balancer that spreads a few requests a second over sixty servers uses each once in many seconds, and
+    # dialled for every other request.  Fewer dials must not make the load of the servers uneven.
     dials, spread = [], []
     for cost in (0.0, 0.08):
         fleet = BalancerFleet(50, warm=60, seed=rate, handshake_cost=cost, keep_us=KEEP_US)
@@ -342,7 +344,7 @@
     assert [server_for(n, SECOND + 2000 + n) for n in (2, 3)] == [first, b"b" if first == b"a" else b"a"]
     for n, server in ((2, first), (3, b"b" if first == b"a" else b"a")):
         balancer.handle(SECOND + 3000, Outcome(n, 0, server, Status.OK, 1000, True))
-    # Idle for longer than connections are kept: nothing is saved, and keys go where they belong.
+    # After idling for longer than connections are kept, no dial is saved, and keys go to their own servers.
     late_us = SECOND + 4000 + KEEP_US
     unweighted = Balancer(Settings(second_copies=False), 1)
     unweighted.handle(0, ListUpdate(ListKind.CACHED, [Member(b"a"), Member(b"b")]))
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules over random legal event streams, played against a small fleet with faults."""
+"""The four rules hold over random legal event streams against a small fleet with faults."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 class RuleChecker:
-    """Plays legal events to one balancer and checks every action against the rules."""
+    """Feeds legal events to one balancer's policy and checks every action against the rules."""
 
     def __init__(self, cfg: Settings, seed: int, fault_rate: float) -> None:
         self.settings, self.seed, self.rng, self.fault_rate = cfg, seed, random.Random(seed), fault_rate
@@ -98,7 +98,7 @@
         elif isinstance(action, Fail):
             self.record_answer(self.requests[action.request])
         elif isinstance(action, Cancel) and action.unsent:
-            pass  # here an attempt begins at once
+            pass  # in this test an attempt is written at once
         elif isinstance(action, Cancel):
             assert self.settings.cancelling
             s = self.requests[action.request].sent[action.attempt]
@@ -114,7 +114,7 @@
     def check_send(self, r: OpenRequest, a: Send) -> None:
         assert r.answers == 0, "sent after the answer"
         member = self.members.get(a.server)
-        assert member and member.state is ServerState.READY, "sent to a server that drains or is gone"
+        assert member and member.state is ServerState.READY, "sent to a server that drains or has left"
         assert len(r.sent) < self.settings.max_attempts
         assert self.settings.second_copies or all(s.is_done for s in r.sent), "two attempts at once"
         ran = [s for s in r.sent if s.may_have_run]
@@ -251,7 +251,7 @@
 def test_the_rules_hold_on_any_legal_event_stream(checker: RuleChecker, steps: int) -> None:
     run_random_events(checker, steps)
     assert all(r.answers == 1 for r in checker.requests.values())
-    # Nothing is kept of requests that are over, and the same events give the same actions again.
+    # No state of finished requests remains, and the same events give the same actions again.
     assert not checker.balancer.requests
     again = Balancer(checker.settings, checker.seed)
     for now, event, actions in checker.trace:
--- a/tests/policy/test_shared_state_update.py
+++ b/tests/policy/test_shared_state_update.py
@@ -1,4 +1,4 @@
-"""What balancers tell each other is one event for the module, and changes nothing where it says nothing."""
+"""The state that balancers share reaches the policy as one event; an empty one changes no decision."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class SteadyBalancer:
-    """One balancer at 20 requests a second, each answered after 50 ms."""
+    """One balancer's policy at 20 requests a second, each answered after 50 ms."""
 
     def __init__(self, **settings: object) -> None:
         self.balancer = Balancer(Settings(instances=4, second_copies=False, **settings), 5)  # type: ignore[arg-type]
@@ -84,7 +84,7 @@
     assert sum(s.ejected for s in harness.view().servers) == ejection_limit
     assert not set(SERVERS[:ejection_limit]) & set(harness.servers_of_requests(100))
     harness.now = until + 1
-    # Each is tried by one request that may be repeated, answers, and is one of them again.
+    # Each gets one request that can be repeated, answers it, and takes load again.
     assert set(harness.servers_of_requests(300)) >= set(SERVERS[:ejection_limit])
     assert not any(s.ejected for s in harness.view().servers)
 
@@ -112,7 +112,7 @@
         and shares.slow_start_divisor(0, b"c") == 5
     )
     assert round(shares.quota_divisor(0, 1)) == 10 and shares.quota_divisor(0, 0) == 5
-    shares.set_process_count(0, 3)  # what all may do is divided among processes, as they were told
+    shares.set_process_count(0, 3)  # a reported count is already one of processes
     assert shares.process_count == 5
     shares.update(0, 0, {}, {}, None, 0, 1.0, {})
     assert (shares.process_count, shares.balancer_count) == (24, 8)
@@ -138,7 +138,7 @@
         harness.feed(Heard(quotas=quotas, pressure=0.3))
         for n in range(200):
             harness.send_request(tenant=n % 2)
-        # Ten a second of each: a quarter of b's quota is as much.
+        # Each tenant sends ten a second, which is a quarter of b's quota.
         return [any(isinstance(a, Refuse) for a in harness.send_request(tenant=n % 2)) for n in range(200)]
 
     within_quota, over_quota = refused({1: 1.0}), refused({1: 0.01})
@@ -168,7 +168,8 @@
 
 
 def test_failures_at_a_server_that_left_the_list_use_up_none_of_the_ejected_share() -> None:
-    # Each node of a deploy that fell silent before it left took one for good, until none could be ejected.
+    # Each server of a deployment that went silent before it left kept one place for good, until none could be
+    # ejected.
     tracker = HealthTracker(lambda: 0.5)
     for ejected_before in (False, True):
         s = ServerHealth()
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Balancers that share nothing keep a cold server within its budget, all together, in every window."""
+"""Balancers that share nothing together keep each server in slow start within its budget, in every window."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from roadlb.policy.interface import Twins
 
 WARM_SERVERS = 6
-REQUESTS_PER_S = 16.0  # requests of mean work that a warm server does
+REQUESTS_PER_S = 16.0  # requests of mean work that a warm server can do a second
 
 
 def unequal_shares(processes: int, seed: int) -> list[float]:
-    """Shares of traffic of which the largest are several times the mean."""
+    """Return random shares of the traffic, the largest of which are several times the mean."""
     rng = random.Random(seed)
     return [rng.choice((0.3, 0.6, 1.0, 1.0, 3.0)) for _ in range(processes)]
 
@@ -23,7 +23,7 @@
 def start_fleet(
     processes: int, seed: int, requests_per_s: float, load: float, **settings: object
 ) -> tuple[Fleet, float]:
-    """A fleet that has run for some seconds, and its rate of requests."""
+    """Return a fleet that has run for some seconds, and its rate of requests."""
     fleet = Fleet(seed, unequal_shares(processes, seed), WARM_SERVERS, requests_per_s, **settings)
     rate = WARM_SERVERS * requests_per_s * load
     fleet.run(6, rate)
@@ -68,7 +68,7 @@
 
 
 def burst_after_low_demand(processes: int, seed: int, requests_per_s: float) -> Fleet:
-    """Little is asked at first, so that each balancer has saved all that it may."""
+    """Demand is low at first, so that each balancer has saved as much budget as it may."""
     fleet, rate = start_fleet(processes, seed, requests_per_s, 0.7)
     add_new_servers(fleet)
     fleet.run(3, rate * 0.15)
@@ -89,7 +89,7 @@
 
 
 def handover(processes: int, seed: int, requests_per_s: float, announced_after_s: float | None) -> Fleet:
-    """Each instance is two processes for 3 s, between which its traffic is divided."""
+    """Each balancer is two processes for 3 s, which share its traffic evenly."""
     fleet, rate = start_fleet(processes, seed, requests_per_s, 0.9)
     add_new_servers(fleet)
     fleet.run(1, rate)
@@ -141,7 +141,7 @@
 
 
 def servers_replaced_in_turn(processes: int, seed: int, requests_per_s: float) -> Fleet:
-    """Six in ten leave within 7 s, each for a new one."""
+    """Six in ten servers leave within 7 s, and a new one joins for each."""
     fleet, rate = start_fleet(processes, seed, requests_per_s, 0.6)
     for i in range(4):
         fleet.servers[b"warm%02d" % i].is_listed_ready = False
@@ -167,7 +167,7 @@
 
 
 def fewer_balancers_than_configured(processes: int, seed: int, requests_per_s: float) -> Fleet:
-    """The settings name ten times as many instances as there are."""
+    """The settings say ten times as many balancers as there are."""
     fleet, rate = start_fleet(processes, seed, requests_per_s, 0.8, instances=10 * processes)
     add_new_servers(fleet)
     fleet.run(10, rate)
@@ -175,7 +175,7 @@
 
 
 def more_processes_than_configured(processes: int, seed: int, requests_per_s: float) -> Fleet:
-    """More processes than the settings name, while one set takes over from another."""
+    """There are more processes than the settings say, while one set takes over from another."""
     fleet, rate = start_fleet(processes, seed, requests_per_s, 0.9, instances=max(1, processes // 2))
     add_new_servers(fleet)
     fleet.run(10, rate)
@@ -185,7 +185,7 @@
 def replace_servers_at_once(
     processes: int, seed: int, requests_per_s: float, leaving_count: int, load: float
 ) -> Fleet:
-    """So many are replaced by cold ones at one blow, under the same demand."""
+    """This many servers are replaced by new ones at once, under the same demand."""
     fleet, rate = start_fleet(processes, seed, requests_per_s, load)
     for i in range(leaving_count):
         del fleet.servers[b"warm%02d" % i]
@@ -204,7 +204,7 @@
 
 
 def servers_and_balancers_replaced(processes: int, seed: int, requests_per_s: float) -> Fleet:
-    """All servers are new, and all balancers."""
+    """All servers and all balancers are replaced by new ones."""
     fleet, rate = start_fleet(processes, seed, requests_per_s, 0.8)
     for i in range(WARM_SERVERS):
         del fleet.servers[b"warm%02d" % i]
@@ -218,7 +218,7 @@
 
 
 def zones_return_and_balancers_restart(processes: int, seed: int, requests_per_s: float) -> Fleet:
-    """Two zones of three return cold, and all balancers start anew."""
+    """Two zones of three return in slow start, and all balancers restart."""
     fleet, rate = start_fleet(processes, seed, requests_per_s, 1.0)
     lost = [s.id for s in fleet.servers.values() if s.zone != 0]
     for id in lost:
@@ -263,7 +263,7 @@
 SCENARIOS: tuple[Scenario, ...] = LOW_USE_EXPECTED + PROCESS_COUNT_DIFFERS + HIGH_USE_EXPECTED
 MIN_USED_SHARE = dict.fromkeys(LOW_USE_EXPECTED + PROCESS_COUNT_DIFFERS, 0.08) | dict.fromkeys(
     HIGH_USE_EXPECTED, 0.3
-)  # of what cold ones could do
+)  # of what servers in slow start could do
 
 
 @pytest.mark.parametrize("processes", [3, 8, 20, 30])
@@ -274,12 +274,12 @@
     fleet = scenario(processes, 7 + processes, REQUESTS_PER_S)
     ratio, total, allowed = fleet.worst_window()
     used_share = fleet.used_share()
-    print(f"{ratio:.2f} of the most: {total:.1f} sent, N = {allowed:.1f}; used {used_share:.2f}")
+    print(f"{ratio:.2f} of the maximum: {total:.1f} sent, N = {allowed:.1f}; used {used_share:.2f}")
     assert ratio <= 1, (total, allowed)
     assert used_share >= MIN_USED_SHARE[scenario]
 
 
-# At 5 a second each of thirty balancers sees one request a second and finds out little about six servers.
+# At 5 requests a second for each server, each of thirty balancers sees one a second and learns little.
 @pytest.mark.parametrize(("requests_per_s", "min_used_share"), [(5.0, 0.03), (60.0, 0.3)])
 @pytest.mark.parametrize("scenario", HIGH_USE_EXPECTED, ids=lambda scenario: scenario.__name__)
 def test_thirty_balancers_keep_to_budgets_of_few_and_of_many_requests(
@@ -287,7 +287,7 @@
 ) -> None:
     fleet = scenario(30, 41, requests_per_s)
     ratio, total, allowed = fleet.worst_window()
-    print(f"{ratio:.2f} of the most: {total:.1f} sent, N = {allowed:.1f}; used {fleet.used_share():.2f}")
+    print(f"{ratio:.2f} of the maximum: {total:.1f} sent, N = {allowed:.1f}; used {fleet.used_share():.2f}")
     assert ratio <= 1, (total, allowed)
     assert fleet.used_share() >= min_used_share
 
@@ -299,8 +299,8 @@
     ids=lambda scenario: scenario.__name__,
 )
 def test_the_load_of_replaced_servers_is_not_expected_of_new_ones(scenario: Scenario, seed: int) -> None:
-    # The whole demand, divided by the little that is left, was taken for what each can do: a budget several
-    # times too large, all of which came at once.
+    # The whole demand, divided by the little capacity that is left, was taken for what each server can do:
+    # the budget was several times too large, and all of it was sent at once.
     fleet = scenario(30, seed, REQUESTS_PER_S)
     ratio, total, allowed = fleet.worst_window()
     assert ratio <= 0.7, (total, allowed)
