--- a/roadlb/policy/logic.py
+++ b/roadlb/policy/logic.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Iterable
 
 from ..routing.key_order import HASH_MASK, splitmix64
-from ..routing.key_sets import MAX_REPORT_AGE_US, KeySet, KeySets
+from ..routing.key_sets import RECENT_US, KeySet, KeySets
 from ..routing.shares import BudgetShares
 from ..routing.health import HealthTracker
 from ..sites.events import Doubted, Listed, Pulse, PutIn, TakeOut
@@ -152,7 +152,7 @@
         self.quotas.fade()
         self.slow_start.tick(self.now, self.list.warm(self.sites), self.list.weight)
         self.sets.update_reports(
-            [s.told * s.inverse for s in self.list.ready if self.now - s.queue_at < MAX_REPORT_AGE_US]
+            [s.told * s.inverse for s in self.list.ready if self.now - s.queue_at < RECENT_US]
         )
         each = self.slow_start.carried / (self.slow_start.mean or 1.0) / self.list.weight
         self.sites.usual([(s.zone, each * s.weight * s.share) for s in self.list.ready])
@@ -264,7 +264,7 @@
         for n in range(r.key, r.key + min(count, 2 * SAMPLE)):
             s = self.list.ready[n % count]
             gets_less = s.share < 1 or s.is_suspect(self.now)
-            if gets_less and s.load(self.now, self.aim) <= self.sets.low_mark(s, mean) and self.usable(s, r):
+            if gets_less and s.load(self.now, self.aim) <= self.sets.low(s, mean) and self.usable(s, r):
                 return s
         return None
 
@@ -295,7 +295,7 @@
                 [o for o in ks.candidates if o.connected(self.now, self.s.keep_us)], r, tried, SAMPLE
             )
             load, mean = s.load(self.now, self.aim), self.fleet.load(self.now, self.aim)
-            if o and o.load(self.now, self.aim) <= max(load, self.sets.low_mark(o, mean)):
+            if o and o.load(self.now, self.aim) <= max(load, self.sets.low(o, mean)):
                 return o
         return s
 
@@ -307,13 +307,13 @@
         mean = self.fleet.load(now, aim)
         if best is None:
             other = self.least(ks.candidates, r, tried, 1)
-            if other and other.load(now, aim) > sets.low_mark(other, mean):
+            if other and other.load(now, aim) > sets.low(other, mean):
                 other = self.least(ks.candidates, r, tried, SAMPLE)
             other = other or self.anywhere(r, tried)
         elif sets.suffices(now, aim, best, mean, ks):
             return best, ks
         else:
-            other = self.least(sets.more_candidates(r.key, ks), r, tried + ks.members, SAMPLE)
+            other = self.least(sets.joinable(r.key, ks), r, tried + ks.members, SAMPLE)
             if not sets.should_join(now, aim, other, best, mean):
                 return best, ks
         ks.join(now, other)
--- a/roadlb/routing/key_sets.py
+++ b/roadlb/routing/key_sets.py
@@ -21,7 +21,7 @@
 LOW_FACTOR, HIGH_FACTOR = 1.1, 1.5  # T_low and T_high, as multiples of the fleet's mean load ...
 MARGIN_REQUESTS = 0.4  # ... plus this many requests, below which a count tells nothing
 CROWDED_REQUESTS = 2.0  # requests waiting, beyond HIGH_FACTOR times the mean, that make a server crowded
-MAX_REPORT_AGE_US = 10_000_000  # a report counts in that mean for so long: also of servers seldom sent to
+RECENT_US = 10_000_000  # a report counts in that mean for so long: also of servers seldom sent to
 INITIAL_CANDIDATES, MAX_CANDIDATES = 8, 64  # servers kept of a key's order, and for a set that has all
 MAX_SETS, SHRINK_US = 4_096, 5_000_000  # beyond it the longest unused goes; a set that has not grown shrinks
 
@@ -95,7 +95,7 @@
             key_set.version = version
         return key_set
 
-    def low_mark(self, server: S, mean: float) -> float:
+    def low(self, server: S, mean: float) -> float:
         """Return T_low of a server, given the fleet's mean load."""
         return LOW_FACTOR * mean + MARGIN_REQUESTS * server.inverse / 2
 
@@ -109,7 +109,7 @@
             return False
         if len(key_set.members) > 1 and now - key_set.grown_at > SHRINK_US:
             key_set.grown_at = now
-            if load < self.low_mark(best, mean):
+            if load < self.low(best, mean):
                 key_set.members.pop()
         return True
 
@@ -119,7 +119,7 @@
             server.waiting(now, aim_us) > HIGH_FACTOR * self.mean_waiting + CROWDED_REQUESTS * server.inverse
         )
 
-    def more_candidates(self, key: int, key_set: KeySet[S]) -> Sequence[S]:
+    def joinable(self, key: int, key_set: KeySet[S]) -> Sequence[S]:
         """Return the servers of the key's order that may join; twice as many if all of them have joined."""
         if len(key_set.members) >= len(key_set.candidates) < MAX_CANDIDATES:
             key_set.candidates = self._find_candidates(key, 2 * len(key_set.candidates))
@@ -134,11 +134,11 @@
         load, other_load = best.load(now, aim_us), other.load(now, aim_us)
         high_mark = HIGH_FACTOR * mean + MARGIN_REQUESTS * best.inverse
         return load > high_mark and (
-            other_load <= self.low_mark(other, mean) or load >= max(2 * high_mark, other_load)
+            other_load <= self.low(other, mean) or load >= max(2 * high_mark, other_load)
         )
 
     def update_reports(self, waiting: Sequence[float]) -> None:
-        """Take what each server reported last, for its size, if that is no older than MAX_REPORT_AGE_US.
+        """Take what each server reported last, for its size, if that is no older than RECENT_US.
 
         Called once a second.
         """
