--- a/benchmarks/probes/timers.py
+++ b/benchmarks/probes/timers.py
@@ -20,7 +20,7 @@
 STEPS, OPEN, PER_TURN, AHEAD_S, SLOT_S, ROUNDS = 200_000, 200, 20, 2.5, 0.005, 5
 
 
-class Wheel:
+class TimerWheel:
     """Notes in a dict of 5 ms slots, one timer of the loop for as long as any slot holds something.
 
     `cancel` takes a note out at once; a caller that marks its own objects can leave it where it is.
@@ -82,7 +82,7 @@
 
 
 async def wheel(cancels: bool = True) -> None:
-    w, n = Wheel(asyncio.get_running_loop()), OPEN
+    w, n = TimerWheel(asyncio.get_running_loop()), OPEN
     open = deque((w.add(AHEAD_S, i, nothing), i) for i in range(OPEN))
     for i in range(STEPS):
         n += 1
--- a/roadlb/admin/sites.py
+++ b/roadlb/admin/sites.py
@@ -43,7 +43,7 @@
 
     def word(number: int, out: bool) -> Callable[[], tuple[int, str]]:
         def call() -> tuple[int, str]:
-            view = engine.site_word(number, out)
+            view = engine.override_site(number, out)
             if view is None:
                 return 404, f"{name(number)}: no server of it is listed"
             if out and view.state is not State.OUT:
--- a/roadlb/app.py
+++ b/roadlb/app.py
@@ -15,7 +15,7 @@
 from .clock import Clock, monotonic_us, unix_us
 from .config import Config, ConfigError
 from .counters import Counters
-from .engine import FULL_RETRY_US, Engine
+from .engine import DEFAULT_RETRY_AFTER_US, Engine
 from .lifecycle.handover import Handover, Held
 from .lifecycle.lifecycle import (
     LINGER_US,
@@ -41,7 +41,7 @@
 from .overload.readings import cpu_used_us, memory_bytes
 from .policy.interface import Settings
 from .policy.logic import Balancer
-from .wheel import Wheel
+from .wheel import TimerWheel
 from .wiring.optional import (
     AgreedConfiguration,
     PeerMembership,
@@ -109,7 +109,7 @@
 
     async def start(self) -> None:
         config, counters, clock = self.config, self.counters, self.clock
-        self.wheel = Wheel(clock)
+        self.wheel = TimerWheel(clock)
         self.engine = Engine(
             Balancer(config.settings, config.seed),
             counters,
@@ -117,7 +117,7 @@
             self.wheel,
             config.max_open,
             [c.name for c in config.settings.classes],
-            min(FULL_RETRY_US, config.settings.max_retry_after_us),
+            min(DEFAULT_RETRY_AFTER_US, config.settings.max_retry_after_us),
         )
         self.server_connections = ServerConnections(config, self.engine, counters, clock, self.wheel)
         self.engine.executor = self.server_connections
@@ -150,10 +150,14 @@
         if config.agreement and config.peers and config.peers.share:
             from .net.merging import Merging
 
-            merging = Merging(self.clock, self.engine.heard)
+            merging = Merging(self.clock, self.engine.update_shared_state)
             parts.append(ProcessCount(merging.beside))
         followed = (
-            [AgreedConfiguration(self, config.agreement, merging.versions if merging else self.engine.heard)]
+            [
+                AgreedConfiguration(
+                    self, config.agreement, merging.versions if merging else self.engine.update_shared_state
+                )
+            ]
             if config.agreement
             else []
         )
@@ -188,7 +192,7 @@
     def changed(self, settings: Settings) -> None:
         """These hold from now on; requests that are open keep their deadlines."""
         self.settings = settings
-        self.engine.changed(settings)
+        self.engine.change_settings(settings)
         longest = max(c.deadline_us for c in settings.classes)
         self.lifecycle.longest_us = max(self.lifecycle.longest_us, min(LONGEST_US, longest))
         if hasattr(self, "frontend"):
@@ -212,7 +216,7 @@
             elif isinstance(action, CloseUnfinished):
                 self.frontend.close_unfinished()
             elif isinstance(action, GiveUp):
-                self.engine.finish(action.came_after_us)
+                self.engine.give_up_all(action.came_after_us)
             elif isinstance(action, RefuseNew):
                 self._refusing = action.on
                 self._limit(self._most_clients)
@@ -222,7 +226,7 @@
                 self._leave_by = action
                 self._leave.set()
             elif isinstance(action, Wake):
-                self.wheel.at(action.at_us, self._life, Event.WAKE)
+                self.wheel.call_at(action.at_us, self._life, Event.WAKE)
         if self.lifecycle.state is not before:
             self.parts.changed(self.lifecycle.state)
             logger.info("lifecycle", extra=fields(state=self.lifecycle.state.value, event=event.value))
@@ -240,7 +244,7 @@
         """So many connections of clients there may be, and as many requests, unless each is refused now."""
         self._most_clients = clients
         self.frontend.limit(clients)
-        self.engine.limit(0 if self._refusing else min(self.config.max_open, clients))
+        self.engine.set_max_open(0 if self._refusing else min(self.config.max_open, clients))
 
     def _beside(self, others: list[Held]) -> None:
         """What others hold is not ours to hold: the limits are the sum's."""
@@ -258,7 +262,7 @@
         self.memory_beside = sum(o.memory for o in others)
         if self.twins != 1 + len(others):
             self.twins = 1 + len(others)
-            self.engine.twins(self.twins)
+            self.engine.set_process_count(self.twins)
             self.parts.beside(self.twins)
             logger.info("processes", extra=fields(count=self.twins))
 
@@ -266,7 +270,7 @@
         """What holds now, under the names that operators see."""
         servers = self.engine.view().servers
         return {
-            "current": self.engine.current,
+            "current": self.engine.requests_in_flight,
             "cluster_size": len(servers),
             "cluster_unhealthy": sum(s.ejected or not s.eligible for s in servers),
             **self.parts.gauges(),
--- a/roadlb/flow.py
+++ b/roadlb/body_stream.py
@@ -14,18 +14,18 @@
 
 
 class Source(Protocol):
-    def flow_want(self, on: bool) -> None:
+    def set_body_reading(self, on: bool) -> None:
         """Read on, or stop reading."""
 
-    def flow_dropped(self) -> None:
+    def body_abandoned(self) -> None:
         """Nobody wants the rest."""
 
 
 class Sink(Protocol):
-    def flow_piece(self, data: bytes) -> None:
+    def body_data(self, data: bytes) -> None:
         """Write it; it may make the sink say that it wants no more for now."""
 
-    def flow_end(self, whole: bool) -> None:
+    def body_end(self, whole: bool) -> None:
         """There is no more: all of it has come, or the source broke."""
 
 
@@ -33,28 +33,28 @@
     """In place of who counts how flows end."""
 
 
-class Flow:
+class BodyStream:
     """`size` in bytes as told by the source; -1: it is told by its end.
 
-    `passed`: something has gone to a sink, so that another sink could not have it all.  `on_over` hears once
+    `passed`: something has gone to a sink, so that another sink could not have it all.  `on_end` hears once
     how it ended: True, all of it was written out; False, it broke; None, it was dropped.
     """
 
-    __slots__ = ("_sink", "_source", "on_over", "passed", "size")
+    __slots__ = ("_sink", "_source", "on_end", "has_delivered", "size")
 
     def __init__(self, size: int, source: Source) -> None:
-        self.size, self.passed = size, False
+        self.size, self.has_delivered = size, False
         self._source: Source | None = source
         self._sink: Sink | None = None
-        self.on_over: Callable[[bool | None], None] = unheard
+        self.on_end: Callable[[bool | None], None] = unheard
 
     @property
-    def free(self) -> bool:
+    def is_attachable(self) -> bool:
         """May a sink be attached?"""
-        return self._sink is None and not self.passed and self._source is not None
+        return self._sink is None and not self.has_delivered and self._source is not None
 
     @property
-    def attached(self) -> bool:
+    def is_attached(self) -> bool:
         return self._sink is not None
 
     # The sink's side
@@ -67,34 +67,34 @@
         if self._sink is not None:
             self._sink = None
             if self._source is not None:
-                self._source.flow_want(False)
+                self._source.set_body_reading(False)
 
-    def want(self, on: bool) -> None:
+    def set_reading(self, on: bool) -> None:
         if self._source is not None:
-            self._source.flow_want(on)
+            self._source.set_body_reading(on)
 
-    def drop(self) -> None:
+    def abandon(self) -> None:
         """The sink is no more, and there will be no other."""
         source, self._source, self._sink = self._source, None, None
         if source is not None:
-            source.flow_dropped()
-        self.over(None)
+            source.body_abandoned()
+        self.report_end(None)
 
-    def over(self, whole: bool | None) -> None:
+    def report_end(self, whole: bool | None) -> None:
         """The sink has written out what it will: all of it or not; None: nobody wanted it."""
-        told, self.on_over = self.on_over, unheard
+        told, self.on_end = self.on_end, unheard
         told(whole)
 
     # The source's side
 
-    def piece(self, data: bytes) -> None:
+    def feed_data(self, data: bytes) -> None:
         if self._sink is not None:
-            self.passed = True
-            self._sink.flow_piece(data)
+            self.has_delivered = True
+            self._sink.body_data(data)
 
-    def end(self, whole: bool) -> None:
+    def feed_end(self, whole: bool) -> None:
         sink, self._source, self._sink = self._sink, None, None
         if sink is not None:
-            sink.flow_end(whole)
+            sink.body_end(whole)
         elif not whole:
-            self.over(None)
+            self.report_end(None)
--- a/roadlb/engine.py
+++ b/roadlb/engine.py
@@ -14,7 +14,7 @@
 
 from .clock import Clock
 from .counters import Counters
-from .exchange import Answer, AttemptOutcome, Exchange, Attempt, Failed, Refusal, Result, Served
+from .exchange import Answer, AttemptOutcome, Exchange, Attempt, Failure, Refusal, Result, Response
 from .log import fields
 from .policy.interface import (
     Action,
@@ -49,13 +49,13 @@
     View,
 )
 from .sites.events import SiteView
-from .wheel import Wheel
+from .wheel import TimerWheel
 
 logger = logging.getLogger(__name__)
 
-FULL_RETRY_US = 200_000  # when to come back to a program that has no room, where clients may be told
-UPLOAD_US = 600_000_000  # 32 MB at 64 kB a second take 500 s
-NEVER = 1 << 62
+DEFAULT_RETRY_AFTER_US = 200_000  # when to come back to a program that has no room, where clients may be told
+UPLOAD_TIMEOUT_US = 600_000_000  # 32 MB at 64 kB a second take 500 s
+NO_EXPIRY_US = 1 << 62
 JUST_CAME_US = 5_000  # a request read so lately has a client that waits
 GUARD_US = 10_000  # past its deadline an exchange is answered whatever the module says
 
@@ -88,10 +88,10 @@
         balancer: Decider,
         counters: Counters,
         clock: Clock,
-        wheel: Wheel,
+        wheel: TimerWheel,
         max_open: int = 20_000,
         class_names: Sequence[str] = (),
-        retry_after_us: int = FULL_RETRY_US,
+        retry_after_us: int = DEFAULT_RETRY_AFTER_US,
     ) -> None:
         """`max_open`: exchanges at once; `class_names`: for the counters of what is refused unsent;
         `retry_after_us`: the advice that goes with a refusal which the module did not make; 0: none."""
@@ -116,8 +116,8 @@
         }
         self.executor: Executor | None = None
         self.on_outcome: Callable[[ServerId, Status], None] | None = None  # told of each attempt's end
-        self.lapse_us = NEVER  # what was granted for a time ends then: `lapsed` is called
-        self.lapsed: Callable[[], None] = lambda: None
+        self.lease_expires_us = NO_EXPIRY_US  # what was granted for a time ends then: `lapsed` is called
+        self.on_lease_expired: Callable[[], None] = lambda: None
         self._carry_out: dict[type, Callable[[Any], None]] = {
             Send: self._send,
             Refuse: self._refuse,
@@ -142,9 +142,9 @@
             return
         exchange.id, self._next_id = self._next_id, self._next_id + 1
         now = self._clock()
-        exchange.until_us = (exchange.came_us or now) + exchange.left_us
+        exchange.deadline_at_us = (exchange.came_us or now) + exchange.left_us
         if exchange.coming:
-            exchange.until_us = now + UPLOAD_US
+            exchange.deadline_at_us = now + UPLOAD_TIMEOUT_US
         self._open[exchange.id] = exchange
         self._asked += 1
         self._counters.add("taken")
@@ -154,7 +154,7 @@
                 exchange.class_index,
                 exchange.tenant,
                 exchange.key,
-                max(1, exchange.until_us - now),
+                max(1, exchange.deadline_at_us - now),
                 exchange.work_us,
                 exchange.is_retry,
                 exchange.coming,
@@ -168,18 +168,18 @@
         if exchange.guard:
             exchange.guard.cancel()
         if exchange.answer is None:
-            exchange.guard = self._wheel.at(exchange.until_us + GUARD_US, self._overdue, exchange)
+            exchange.guard = self._wheel.call_at(exchange.deadline_at_us + GUARD_US, self._overdue, exchange)
 
-    def body_whole(self, exchange: Exchange) -> None:
+    def body_complete(self, exchange: Exchange) -> None:
         """The last byte of its body has come: its time begins."""
         if exchange.closed or not exchange.coming:
             return
         exchange.coming, now = False, self._clock()
-        exchange.came_us, exchange.until_us = now, now + exchange.left_us
+        exchange.came_us, exchange.deadline_at_us = now, now + exchange.left_us
         for attempt in exchange.attempts:
             if attempt.outcome is None:
-                attempt.started_us, attempt.until_us, attempt.left_us = now, exchange.until_us, 0
-                attempt.write_by_us = exchange.until_us
+                attempt.started_us, attempt.deadline_at_us, attempt.left_us = now, exchange.deadline_at_us, 0
+                attempt.write_by_us = exchange.deadline_at_us
                 assert self.executor
                 self.executor.extend(attempt)
         self._feed(BodyWhole(exchange.id, max(1, exchange.left_us)), now)
@@ -193,16 +193,16 @@
             self._withdraw(exchange)
             self._forget(exchange)
 
-    def finish(self, came_after_us: int = 0) -> None:
+    def give_up_all(self, came_after_us: int = 0) -> None:
         """Give all that is still open, and came after this time, its answer now."""
         for exchange in list(self._open.values()):
             if not exchange.closed and (
-                exchange.coming or exchange.until_us - exchange.left_us > came_after_us
+                exchange.coming or exchange.deadline_at_us - exchange.left_us > came_after_us
             ):
                 self._give_up(exchange, "stopping")
 
     @property
-    def current(self) -> int:
+    def requests_in_flight(self) -> int:
         """Requests taken and not ended."""
         return self._flowing + sum(not exchange.closed for exchange in self._open.values())
 
@@ -214,11 +214,13 @@
         return View([])
 
     @property
-    def short(self) -> bool:
+    def is_process_overloaded(self) -> bool:
         """Is part of the demand to be refused for want of the program's own means?"""
         return self._short
 
-    def offer(self, class_index: int, tenant: int, key: int, left_us: int, work_us: int) -> Refusal | None:
+    def check_admission(
+        self, class_index: int, tenant: int, key: int, left_us: int, work_us: int
+    ) -> Refusal | None:
         """Would the module refuse this request, whose body has not come?  Then it need not be opened."""
         try:
             actions = self._balancer.handle(self._clock(), Offer(class_index, tenant, key, left_us, work_us))
@@ -235,34 +237,34 @@
                 return Refusal(action.retry_after_us)
         return None
 
-    def shortage(self, share: float) -> None:
+    def set_shed_share(self, share: float) -> None:
         """At least this share of the demand is to be refused for want of the program's own means."""
         self._short = share > 0
         self._feed(Shortage(share))
 
-    def limit(self, max_open: int) -> None:
+    def set_max_open(self, max_open: int) -> None:
         """So many exchanges may be open at once from now on."""
         self._max_open = max_open
 
-    def twins(self, count: int) -> None:
+    def set_process_count(self, count: int) -> None:
         """So many processes are this one instance now."""
         self._feed(Twins(count))
 
-    def heard(self, event: Heard) -> None:
+    def update_shared_state(self, event: Heard) -> None:
         """What balancers share, as far as this one knows by now."""
         self._feed(event)
 
-    def changed(self, settings: Settings) -> None:
+    def change_settings(self, settings: Settings) -> None:
         """These hold from now on, for what is open as `policy.interface.Changed` has it."""
         self._feed(Changed(settings))
 
-    def site_word(self, site: int, out: bool) -> SiteView | None:
+    def override_site(self, site: int, out: bool) -> SiteView | None:
         """An operator's word on a hall, by its number, and how it stands then; None: there is no such
         hall."""
         self._feed(SiteWord(site, out))
         return next((view for view in self.view().sites if view.site == site), None)
 
-    def asked_and_refused(self) -> tuple[int, int]:
+    def request_counts(self) -> tuple[int, int]:
         """Requests that have come so far, and how many of them were refused with nothing sent for them."""
         return self._asked, self._refused
 
@@ -312,10 +314,10 @@
             self._events.append(event)
             return
         now = self._clock() if now is None else now
-        if now >= self.lapse_us:
+        if now >= self.lease_expires_us:
             # A process that was stopped wakes with requests in hand, before any timer is due.
-            self.lapse_us = NEVER
-            self.lapsed()
+            self.lease_expires_us = NO_EXPIRY_US
+            self.on_lease_expired()
         self._busy, self._now = True, now
         try:
             while True:
@@ -352,14 +354,14 @@
 
     def _give_up(self, exchange: Exchange, reason: str) -> None:
         """Answer without the module, and let it know that the request is over."""
-        self._answer(exchange.id, Failed(reason) if exchange.attempts else Refusal(self._retry_after_us))
+        self._answer(exchange.id, Failure(reason) if exchange.attempts else Refusal(self._retry_after_us))
         self._feed(ClientGone(exchange.id))
         self._withdraw(exchange)
 
     # Actions out
 
     def _set_timer(self, action: SetTimer) -> None:
-        self._wheel.at(action.at_us, self._feed, TimerFired(action.token))
+        self._wheel.call_at(action.at_us, self._feed, TimerFired(action.token))
 
     def _send(self, action: Send) -> None:
         assert self.executor
@@ -368,8 +370,12 @@
             return  # answered without the module, which hears of it in its next event
         if not exchange.closed and (exchange.attempts or now > exchange.came_us + JUST_CAME_US):
             # What made this attempt due may have been handled before the client's close, which has come too.
-            exchange.check_left()
-        until = min(exchange.until_us, now + action.timeout_us) if action.timeout_us else exchange.until_us
+            exchange.check_client_gone()
+        until = (
+            min(exchange.deadline_at_us, now + action.timeout_us)
+            if action.timeout_us
+            else exchange.deadline_at_us
+        )
         attempt = Attempt(
             exchange.id,
             exchange.message,
@@ -397,7 +403,7 @@
 
     def _fail(self, action: Fail) -> None:
         exchange = self._open.get(action.request)
-        self._answer(action.request, Failed("given up"))
+        self._answer(action.request, Failure("given up"))
         if exchange:
             self._withdraw(exchange)
 
@@ -422,9 +428,9 @@
         exchange = self._open.get(request)
         if exchange is None or exchange.closed:
             return
-        if isinstance(answer, Served) and answer.flow:
+        if isinstance(answer, Response) and answer.body_stream:
             self._flowing += 1
-            answer.flow.on_over = partial(self._flowed, exchange.class_index)
+            answer.body_stream.on_end = partial(self._flowed, exchange.class_index)
         else:
             self._count_answer(type(answer), exchange.class_index)
         exchange.answer = answer
@@ -441,7 +447,7 @@
         if whole is None:
             self._counters.add("client_gone")
         else:
-            self._count_answer(Served if whole else Failed, class_index)
+            self._count_answer(Response if whole else Failure, class_index)
 
     def _withdraw(self, exchange: Exchange) -> None:
         """Nothing of a request begins once it is answered or its client has gone, whatever the module says.
@@ -470,4 +476,4 @@
 
 
 _ATTEMPT_COUNTERS = {outcome: f"execution.{outcome.value}" for outcome in AttemptOutcome}
-_ANSWER: dict[type, str] = {Served: "answered", Refusal: "deferred", Failed: "errored"}
+_ANSWER: dict[type, str] = {Response: "answered", Refusal: "deferred", Failure: "errored"}
--- a/roadlb/exchange.py
+++ b/roadlb/exchange.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING, TypeAlias
 
-from .flow import Flow
+from .body_stream import BodyStream
 from .policy.interface import ServerId, Status
 
 if TYPE_CHECKING:
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True, init=False)
-class Served:
+class Response:
     """An instance's answer, passed on unchanged; `head`: its header lines, each with its line end.
 
     `flow`: the body, which comes piece by piece and is not in `body`.
@@ -70,10 +70,10 @@
 
     body: bytes
     head: bytes = b""
-    flow: Flow | None = None
+    body_stream: BodyStream | None = None
 
-    def __init__(self, body: bytes, head: bytes = b"", flow: Flow | None = None) -> None:
-        self.body, self.head, self.flow = body, head, flow
+    def __init__(self, body: bytes, head: bytes = b"", body_stream: BodyStream | None = None) -> None:
+        self.body, self.head, self.body_stream = body, head, body_stream
 
 
 @dataclass(slots=True, init=False)
@@ -87,13 +87,13 @@
 
 
 @dataclass(slots=True)
-class Failed:
+class Failure:
     """No promise about the effect."""
 
     reason: str
 
 
-Answer: TypeAlias = Served | Refusal | Failed
+Answer: TypeAlias = Response | Refusal | Failure
 
 
 @dataclass(slots=True, init=False)
@@ -108,12 +108,23 @@
     target: bytes
     head: bytes = b""
     body: bytes = b""
-    flow: Flow | None = None
+    body_stream: BodyStream | None = None
 
     def __init__(
-        self, method: bytes, target: bytes, head: bytes = b"", body: bytes = b"", flow: Flow | None = None
+        self,
+        method: bytes,
+        target: bytes,
+        head: bytes = b"",
+        body: bytes = b"",
+        body_stream: BodyStream | None = None,
     ) -> None:
-        self.method, self.target, self.head, self.body, self.flow = method, target, head, body, flow
+        self.method, self.target, self.head, self.body, self.body_stream = (
+            method,
+            target,
+            head,
+            body,
+            body_stream,
+        )
 
 
 class Attempt:
@@ -135,7 +146,7 @@
         "request",
         "server",
         "started_us",
-        "until_us",
+        "deadline_at_us",
     )
 
     def __init__(
@@ -145,26 +156,26 @@
         number: int,
         server: ServerId,
         started_us: int,
-        until_us: int,
+        deadline_at_us: int,
         left_us: int = 0,
         write_by_us: int = 0,
     ) -> None:
         """`write_by_us` 0: until its time is up."""
         self.left_us = left_us
-        self.write_by_us = write_by_us or until_us
+        self.write_by_us = write_by_us or deadline_at_us
         self.request, self.message, self.number, self.server = request, message, number, server
-        self.started_us, self.until_us = started_us, until_us
+        self.started_us, self.deadline_at_us = started_us, deadline_at_us
         self.outcome: AttemptOutcome | None = None
 
     def never_write(self) -> None:
         """Its request is over: if nothing of it is written yet, nothing will be."""
         self.left_us, self.write_by_us = 0, NEVER_US
 
-    def left_at(self, now_us: int) -> int:
+    def time_left_us(self, now_us: int) -> int:
         """How long its answer will be waited for if it is written now; 0: it may not be written any more."""
         if self.left_us:
             return self.left_us
-        return self.until_us - now_us if now_us < self.write_by_us else 0
+        return self.deadline_at_us - now_us if now_us < self.write_by_us else 0
 
 
 def client_waits() -> bool:
@@ -184,7 +195,7 @@
     __slots__ = (
         "answer",
         "came_us",
-        "check_left",
+        "check_client_gone",
         "class_index",
         "coming",
         "attempts",
@@ -197,7 +208,7 @@
         "message",
         "on_answer",
         "tenant",
-        "until_us",
+        "deadline_at_us",
         "work_us",
     )
 
@@ -212,14 +223,14 @@
         is_retry: bool,
         on_answer: Callable[[Exchange, Answer], None],
         came_us: int = 0,
-        check_left: Callable[[], bool] = client_waits,
+        check_client_gone: Callable[[], bool] = client_waits,
     ) -> None:
-        self.check_left = check_left
+        self.check_client_gone = check_client_gone
         self.message, self.class_index, self.tenant, self.key = message, class_index, tenant, key
         self.left_us, self.work_us, self.is_retry = left_us, work_us, is_retry
         self.on_answer, self.came_us = on_answer, came_us
-        self.id = self.until_us = 0
-        self.coming = message.flow is not None
+        self.id = self.deadline_at_us = 0
+        self.coming = message.body_stream is not None
         self.attempts: list[Attempt] = []
         self.guard: Timer | None = None
         self.answer: Answer | None = None
@@ -237,9 +248,9 @@
 
     outcome: AttemptOutcome
     report: tuple[float, ...] = ()
-    answer: Served | None = None
+    answer: Response | None = None
 
     def __init__(
-        self, outcome: AttemptOutcome, report: tuple[float, ...] = (), answer: Served | None = None
+        self, outcome: AttemptOutcome, report: tuple[float, ...] = (), answer: Response | None = None
     ) -> None:
         self.outcome, self.report, self.answer = outcome, report, answer
--- a/roadlb/following/following.py
+++ b/roadlb/following/following.py
@@ -40,7 +40,7 @@
 from ..clock import Clock
 from ..config import Agreement, ConfigError
 from ..counters import Counters
-from ..engine import NEVER
+from ..engine import NO_EXPIRY_US
 from ..fleet.guard import Guard, Offer, Pass, Refuse, Took
 from ..fleet.model import Cluster, NodeId, Picture
 from ..fleet.steps import up
@@ -279,7 +279,7 @@
                     self._apply(action)
                 case Reported():
                     self._report(action)
-        self._lapse_at(self.follower.until if self.follower.granted(self._clock()) else NEVER)
+        self._lapse_at(self.follower.until if self.follower.granted(self._clock()) else NO_EXPIRY_US)
 
     def _report(self, action: Reported) -> None:
         self.counters.add(f"follow.{action.word.value.replace(' ', '_')}")
--- a/roadlb/lab/capacity/hollow_peers.py
+++ b/roadlb/lab/capacity/hollow_peers.py
@@ -25,7 +25,7 @@
 from ...net.sharing import Sharing
 from ...policy.interface import ListKind, Member, ServerId, Status
 from ...policy.logic import Balancer
-from ...wheel import Wheel
+from ...wheel import TimerWheel
 from .processes import answer_lines
 from .settings import HOST, PEERS_KEY, configuration, server_name
 
@@ -53,7 +53,7 @@
         assert config.peers
         self.counters, self._random = Counters(), Random(number)
         self.engine = Engine(
-            Balancer(config.settings, number), self.counters, monotonic_us, Wheel(monotonic_us)
+            Balancer(config.settings, number), self.counters, monotonic_us, TimerWheel(monotonic_us)
         )
         self._servers = [server_id(server_name(i)) for i in range(told["servers"])]
         self._per_turn = told["requests_per_s"] * OUTCOMES_S
@@ -67,7 +67,7 @@
             self.engine,
             self.counters,
             monotonic_us,
-            lambda instances, heard: self.engine.heard(heard),
+            lambda instances, heard: self.engine.update_shared_state(heard),
             lambda: names,
         )
 
--- a/roadlb/net/client_connection.py
+++ b/roadlb/net/client_connection.py
@@ -19,8 +19,8 @@
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser
 
-from ..exchange import Answer, Exchange, Served
-from ..flow import Flow
+from ..exchange import Answer, Exchange, Response
+from ..body_stream import BodyStream
 from .headers import EXPECT, HOST, Faulty, Headers
 from .http import BODY_MOST, CONTINUE, HEAD_MOST, LAST_CHUNK, answered, began, chunk
 from .sockets import bound, far_end_left, unread
@@ -63,7 +63,7 @@
         "body",
         "came_us",
         "faulty",
-        "flow",
+        "body_stream",
         "given_up",
         "head_size",
         "head_whole",
@@ -81,7 +81,7 @@
     def __init__(self, came_us: int) -> None:
         self.came_us = came_us  # when its last byte came; at first, when its first did
         self.length = -1  # of its body, where it is told
-        self.flow: Flow | None = None  # the rest of its body, while that comes
+        self.body_stream: BodyStream | None = None  # the rest of its body, while that comes
         self.newest = True  # it is HTTP/1.1
         self.method = self.target = b""
         self.headers = NO_HEADERS  # till the head is whole
@@ -106,7 +106,7 @@
         "_chunked",
         "_client",
         "_discarded",
-        "_flow",
+        "_body_stream",
         "_flow_ended",
         "_held",
         "_held_us",
@@ -144,10 +144,10 @@
         self._discarded = 0  # bytes that came once it was deaf
         self._last = False  # the open request's answer ends the connection
         self._pumping, self._reading_on = False, True
-        self._upload: Flow | None = None  # the open request's body, while it comes
+        self._upload: BodyStream | None = None  # the open request's body, while it comes
         self._wanted = False  # more of that is wanted
         self.unwanted_us = 0  # since when not, while it comes
-        self._flow: Flow | None = None  # the answer's body, while it comes
+        self._body_stream: BodyStream | None = None  # the answer's body, while it comes
         self._flow_ended = self._chunked = False  # all of that has come; it goes out in chunks
         self._newest = True  # the open request is HTTP/1.1
         self.transport: asyncio.Transport | None = None
@@ -189,13 +189,13 @@
         self._ignore_rest()
         self._client.abandon(self)
         upload, self._upload = self._upload, None
-        flow, self._flow = self._flow, None
+        body_stream, self._body_stream = self._body_stream, None
         if upload is not None:
-            upload.end(False)
-        if flow is not None:
-            flow.drop()
+            upload.feed_end(False)
+        if body_stream is not None:
+            body_stream.abandon()
 
-    def check_left(self) -> bool:
+    def check_client_gone(self) -> bool:
         """Has the client closed, be it behind unread bytes?  Then it is treated as any that leaves."""
         if self.transport is None or not far_end_left(self.transport):
             return False
@@ -217,7 +217,7 @@
             self._came_us = came
             self._pump()
             return
-        if self.exchange or self._waiting or self._held or self.stuck_us or self._flow is not None:
+        if self.exchange or self._waiting or self._held or self.stuck_us or self._body_stream is not None:
             self._held_us = self._held_us if self._held else came
             self._held += data
             if len(self._held) > HELD_MOST:
@@ -240,15 +240,15 @@
         Reading goes on, within its bound: else the client's close would not be noticed.
         """
         self.stuck_us = self._client.clock()
-        if self._flow is not None:
-            self._flow.want(False)
+        if self._body_stream is not None:
+            self._body_stream.set_reading(False)
 
     def resume_writing(self) -> None:
         self.stuck_us = 0
         if self._flow_ended:
             self._flow_over()
-        elif self._flow is not None:
-            self._flow.want(True)
+        elif self._body_stream is not None:
+            self._body_stream.set_reading(True)
         self._pump()
 
     def _read_on(self, on: bool) -> None:
@@ -326,7 +326,7 @@
         if request.size > BODY_MOST:
             self._fault(BadRequest(413, "the body is too large", closes=True))
         elif self._upload is not None:
-            self._upload.piece(body)
+            self._upload.feed_data(body)
         elif not request.given_up:
             request.body.append(body)
 
@@ -337,7 +337,7 @@
         request.came_us = self._came_us
         if self._upload is not None:
             upload, self._upload, self.unwanted_us = self._upload, None, 0
-            upload.end(True)
+            upload.feed_end(True)
             self._client.uploaded(self)
         elif not request.given_up:
             self._waiting.append(request)
@@ -350,7 +350,7 @@
         if self._upload is not None:
             upload, self._upload = self._upload, None
             self._client.abandon(self)
-            upload.end(False)
+            upload.feed_end(False)
         if not request.given_up:
             request.faulty = fault
             self._waiting.append(request)
@@ -364,12 +364,12 @@
         self._pumping = True
         try:
             while self.transport:
-                if not self._reading_on and self.check_left():
+                if not self._reading_on and self.check_client_gone():
                     break
                 if self._upload is not None:
                     if not self._wanted:
                         break
-                elif self.exchange or self.stuck_us or self._flow is not None:
+                elif self.exchange or self.stuck_us or self._body_stream is not None:
                     break
                 if self._waiting:
                     self._serve(self._waiting.popleft())
@@ -438,15 +438,15 @@
 
     def _begin_upload(self, request: Request) -> None:
         """The body is too long to hold: the request is served now, and the rest goes on as it comes."""
-        request.flow = self._upload = Flow(request.length, self)
-        self.flow_want(False)
+        request.body_stream = self._upload = BodyStream(request.length, self)
+        self.set_body_reading(False)
         bound(self.transport)
         request.came_us = self._came_us
         self._serve(request)
         if self.exchange is None and self._upload is not None:  # answered at once: the rest is not read
             self._upload = None
 
-    def flow_want(self, on: bool) -> None:
+    def set_body_reading(self, on: bool) -> None:
         if self._upload is None:
             return
         self._wanted, self.unwanted_us = on, 0 if on else self._client.clock()
@@ -455,27 +455,27 @@
         if on:
             self._pump()
 
-    def flow_dropped(self) -> None:
+    def body_abandoned(self) -> None:
         """Whoever answers decides what becomes of the rest."""
 
     # The sink of an answer's body
 
-    def _begin_flow(self, answer: Served, flow: Flow, last: bool) -> None:
+    def _begin_flow(self, answer: Response, body_stream: BodyStream, last: bool) -> None:
         """The answer's head goes out, and its body as it comes."""
-        self._flow, self._flow_ended = flow, False
-        self._chunked = flow.size < 0 and self._newest
-        self._last = last or flow.size < 0 and not self._newest
+        self._body_stream, self._flow_ended = body_stream, False
+        self._chunked = body_stream.size < 0 and self._newest
+        self._last = last or body_stream.size < 0 and not self._newest
         bound(self.transport)
         self._write(began(answer, self._last, self._chunked))
-        flow.attach(self)
-        flow.want(not self.stuck_us)
+        body_stream.attach(self)
+        body_stream.set_reading(not self.stuck_us)
 
-    def flow_piece(self, data: bytes) -> None:
+    def body_data(self, data: bytes) -> None:
         self._write(chunk(data) if self._chunked else data)
 
-    def flow_end(self, whole: bool) -> None:
-        flow = self._flow
-        if flow is None:
+    def body_end(self, whole: bool) -> None:
+        body_stream = self._body_stream
+        if body_stream is None:
             return
         if whole:
             self._flow_ended = True
@@ -484,17 +484,17 @@
             if not self.stuck_us:
                 self._flow_over()
             return
-        self._flow = None
-        flow.over(False)
-        if flow.size >= 0 or self._chunked:
+        self._body_stream = None
+        body_stream.report_end(False)
+        if body_stream.size >= 0 or self._chunked:
             self.close()  # it ends short of what its head or its last chunk would tell
         else:
             self.abort()  # nothing but a reset tells that it is not whole
 
     def _flow_over(self) -> None:
-        flow, self._flow, self._flow_ended = self._flow, None, False
-        if flow is not None:
-            flow.over(True)
+        body_stream, self._body_stream, self._flow_ended = self._body_stream, None, False
+        if body_stream is not None:
+            body_stream.report_end(True)
         self.since_us = self._client.clock()
         if self._last:
             self.close()
@@ -511,8 +511,8 @@
         self.exchange = None
         self._client.answered(self)
         last = self.last
-        if isinstance(answer, Served) and answer.flow is not None:
-            self._begin_flow(answer, answer.flow, last)
+        if isinstance(answer, Response) and answer.body_stream is not None:
+            self._begin_flow(answer, answer.body_stream, last)
             return
         if self._upload is not None:
             self.reject(answered(answer, last))
@@ -564,7 +564,7 @@
     @property
     def busy(self) -> bool:
         """Is a request open, or waiting in line?"""
-        return self.exchange is not None or bool(self._waiting) or self._flow is not None
+        return self.exchange is not None or bool(self._waiting) or self._body_stream is not None
 
     @property
     def uploading(self) -> bool:
@@ -574,7 +574,7 @@
     @property
     def flowing(self) -> bool:
         """Is an answer on its way?"""
-        return self._flow is not None
+        return self._body_stream is not None
 
     def time_out(self) -> None:
         """The rest of a request has not come in its time."""
--- a/roadlb/net/frontend.py
+++ b/roadlb/net/frontend.py
@@ -20,7 +20,7 @@
 from ..exchange import Exchange, Message, Refusal
 from ..log import Limit, fields
 from ..policy.interface import Effect, Settings
-from ..wheel import Timer, Wheel
+from ..wheel import Timer, TimerWheel
 from .client_connection import BadRequest, ClientConnection, Request
 from .headers import ACCOUNT, CORRELATION_ID, FACTS, HOST, REPEAT, TIME_LEFT, Faulty, name_values
 from .http import HOLD, HOLD_TIGHT, answered, empty, plain
@@ -87,7 +87,7 @@
         counters: Counters,
         ready: Callable[[], bool],
         clock: Clock,
-        wheel: Wheel,
+        wheel: TimerWheel,
         came_us: Callable[[asyncio.Transport], int] | None = None,
     ) -> None:
         """`ready`: is a node known?  `came_us`: when bytes read now may first have come (default: now)."""
@@ -178,22 +178,24 @@
     @property
     def short(self) -> bool:
         """Is part of the demand to be refused for want of the program's own means?"""
-        return self._engine.short
+        return self._engine.is_process_overloaded
 
     def linger(self, connection: ClientConnection) -> Timer:
         """Have it told when its client has had its time to close."""
-        return self._wheel.at(self.clock() + int(LINGER_S * 1e6), ClientConnection.linger_over, connection)
+        return self._wheel.call_at(
+            self.clock() + int(LINGER_S * 1e6), ClientConnection.linger_over, connection
+        )
 
     def watch_paused(self, connection: ClientConnection) -> None:
         """Its transport does not read, and so does not tell that its client leaves: look after it."""
         if not self._paused:
-            self._wheel.at(self.clock() + PAUSED_LOOK_US, Frontend._look_at_paused, self)
+            self._wheel.call_at(self.clock() + PAUSED_LOOK_US, Frontend._look_at_paused, self)
         self._paused[connection] = None
 
     def _look_at_paused(self) -> None:
         paused, self._paused = self._paused, {}
         for connection in paused:
-            if connection.reading_paused and not connection.check_left():
+            if connection.reading_paused and not connection.check_client_gone():
                 self.watch_paused(connection)
 
     async def sweep_for_ever(self) -> None:
@@ -286,7 +288,7 @@
     def uploaded(self, connection: ClientConnection) -> None:
         """The body of its open request is whole."""
         if connection.exchange is not None:
-            self._engine.body_whole(connection.exchange)
+            self._engine.body_complete(connection.exchange)
 
     def abandon(self, connection: ClientConnection) -> None:
         """What it asked for cannot go on: its body is faulty, or nobody takes it."""
@@ -307,7 +309,7 @@
         except BadRequest:
             return None  # it is told so in its turn
         left_us -= self.clock() - request.came_us
-        return self._engine.offer(class_index, tenant, key, max(1, left_us), work_us)
+        return self._engine.check_admission(class_index, tenant, key, max(1, left_us), work_us)
 
     def refuse_at_once(self, data: bytes, last: bool) -> bytes:
         """The refusal of what is one plain read and nothing else, if the module would refuse it; else b"".
@@ -323,7 +325,7 @@
         tenant = self._tenants.get(read[2]) if self._tenants else 0
         if class_index is None or self._methods[class_index] != b"GET" or tenant is None or not fit:
             return b""
-        refusal = self._engine.offer(class_index, tenant, key, self._deadlines_us[class_index], 0)
+        refusal = self._engine.check_admission(class_index, tenant, key, self._deadlines_us[class_index], 0)
         return answered(refusal, last) if refusal else b""
 
     def _reject(self, connection: ClientConnection, request: Request, e: BadRequest) -> None:
@@ -389,7 +391,7 @@
         if HOST not in request.headers.fields:  # as HTTP/1.0 may; the instance is spoken to in 1.1
             head = b"Host: %b\r\n%b" % (self._name, head)
         return Exchange(
-            Message(request.method, request.target, head, b"".join(request.body), request.flow),
+            Message(request.method, request.target, head, b"".join(request.body), request.body_stream),
             class_index,
             tenant,
             key,
@@ -399,7 +401,7 @@
             connection.on_answer,
             # One that waited, in line behind another or for us to read it, has used that time up.
             request.came_us,
-            connection.check_left,
+            connection.check_client_gone,
         )
 
     def _left_us(self, text: bytes | None, class_index: int) -> int:
--- a/roadlb/net/http.py
+++ b/roadlb/net/http.py
@@ -4,7 +4,7 @@
 
 from http import HTTPStatus
 
-from ..exchange import Answer, Refusal, Served
+from ..exchange import Answer, Refusal, Response
 
 HOLD = 65_536  # of a body, before it flows
 HOLD_TIGHT = 4_096  # and where memory is short
@@ -22,7 +22,7 @@
 def answered(answer: Answer, last: bool) -> bytes:
     """A final answer's bytes; `last`: its connection ends with it."""
     close = _CLOSE if last else b""
-    if isinstance(answer, Served):
+    if isinstance(answer, Response):
         return b"%b%b%bContent-Length: %d\r\n\r\n%b" % (
             _STATUS[200],
             answer.head,
@@ -38,9 +38,9 @@
     return plain(502, answer.reason, last)
 
 
-def began(answer: Served, last: bool, chunked: bool) -> bytes:
+def began(answer: Response, last: bool, chunked: bool) -> bytes:
     """The head of an answer whose body flows; `chunked`: with no length, else with the flow's, or neither."""
-    size = answer.flow.size if answer.flow else -1
+    size = answer.body_stream.size if answer.body_stream else -1
     framing = b"Transfer-Encoding: chunked\r\n" if chunked else b""
     if size >= 0:
         framing = b"Content-Length: %d\r\n" % size
--- a/roadlb/net/pool.py
+++ b/roadlb/net/pool.py
@@ -16,7 +16,7 @@
 from ..config import Address
 from ..exchange import AttemptOutcome, Result
 from ..policy.interface import ServerId
-from ..wheel import Wheel
+from ..wheel import TimerWheel
 from .headers import LoadReports
 from .http import HOLD
 from .server_connection import Call, ServerConnection
@@ -33,7 +33,7 @@
     """At most `most` connections, idle for at most `keep_us`; `dial_us` is how long a dial may take."""
 
     def __init__(
-        self, most: int, keep_us: int, dial_us: int, reports: LoadReports, clock: Clock, wheel: Wheel
+        self, most: int, keep_us: int, dial_us: int, reports: LoadReports, clock: Clock, wheel: TimerWheel
     ) -> None:
         self.reports, self.clock, self.wheel = reports, clock, wheel
         self._most, self._keep_us, self._dial_us = most, keep_us, dial_us
@@ -159,7 +159,7 @@
             self._all_idle[connection] = None
         if self._all_idle and not self._sweeping:
             self._sweeping = True
-            self.wheel.at(self.clock() + int(SWEEP_S * 1e6), self._sweep, None)
+            self.wheel.call_at(self.clock() + int(SWEEP_S * 1e6), self._sweep, None)
 
     def _take(self, server: ServerId) -> ServerConnection | None:
         """The connection that has waited for the shortest time, of those that have settled."""
@@ -215,7 +215,7 @@
             self._drop(connection)
         self._sweeping = bool(self._all_idle)
         if self._sweeping:
-            self.wheel.at(self.clock() + int(SWEEP_S * 1e6), self._sweep, None)
+            self.wheel.call_at(self.clock() + int(SWEEP_S * 1e6), self._sweep, None)
 
     async def close(self) -> None:
         """End all connections and dials; calls that are out are not told."""
--- a/roadlb/net/server_connection.py
+++ b/roadlb/net/server_connection.py
@@ -24,8 +24,8 @@
 from httptools import HttpParserError, HttpParserUpgrade, HttpResponseParser
 
 from ..config import Address
-from ..exchange import AttemptOutcome, Attempt, Result, Served
-from ..flow import Flow
+from ..exchange import AttemptOutcome, Attempt, Result, Response
+from ..body_stream import BodyStream
 from ..policy.interface import ServerId
 from ..wheel import Timer
 from .headers import LOAD, UNPROCESSED, Faulty, Headers
@@ -55,7 +55,7 @@
     """
 
     server: ServerId
-    until_us: int
+    deadline_at_us: int
     ended: Callable[[Result, str], None]
     attempt: Attempt | None
     connection: ServerConnection | None
@@ -63,19 +63,19 @@
     dialling: asyncio.Task[None] | None
     timer: Timer | None
     written: Callable[[], None] | None
-    flow: Flow | None  # what follows of the body
+    body_stream: BodyStream | None  # what follows of the body
 
     def __init__(
         self,
         server: ServerId,
-        until_us: int,
+        deadline_at_us: int,
         ended: Callable[[Result, str], None],
         attempt: Attempt | None = None,
         written: Callable[[], None] | None = None,
-        flow: Flow | None = None,
+        body_stream: BodyStream | None = None,
     ) -> None:
-        self.flow = flow
-        self.server, self.until_us, self.ended = server, until_us, ended
+        self.body_stream = body_stream
+        self.server, self.deadline_at_us, self.ended = server, deadline_at_us, ended
         self.attempt, self.written = attempt, written
         self.connection, self.address, self.dialling, self.timer = None, None, None, None
 
@@ -87,7 +87,7 @@
         """
         if self.attempt is None:
             return PROBE
-        return request_bytes(self.attempt.message, self.attempt.left_at(now_us))
+        return request_bytes(self.attempt.message, self.attempt.time_left_us(now_us))
 
 
 class ServerConnection:
@@ -101,7 +101,7 @@
         "_extra",
         "_final",
         "_first_us",
-        "_flow",
+        "_body_stream",
         "_head_whole",
         "_headers",
         "_heard_us",
@@ -137,8 +137,8 @@
         self._headers = Headers()
         self._stall: Timer | None = None
         self._unwritten = False  # some of the request has not gone out
-        self._upload: Flow | None = None  # the rest of the request's body, while it comes
-        self._flow: Flow | None = None  # the answer's body, while it flows
+        self._upload: BodyStream | None = None  # the rest of the request's body, while it comes
+        self._body_stream: BodyStream | None = None  # the answer's body, while it flows
         self._paused = False  # nothing is read, as the flow's sink is full
         self._heard_us = self._first_us = 0  # when something last came, and first came of this answer
         self.transport: asyncio.Transport | None = None
@@ -171,7 +171,7 @@
             self.transport is not None
             and not self.transport.is_closing()
             and self._call is None
-            and self._flow is None
+            and self._body_stream is None
         )
 
     @property
@@ -189,7 +189,7 @@
         """Write the call's request; the connection must be usable."""
         assert self.transport and self._call is None
         data = call.render(self._pool.clock())
-        if not data or call.flow is not None and not call.flow.free:
+        if not data or call.body_stream is not None and not call.body_stream.is_attachable:
             idle_since_us = self.rested_us  # of a reused one; to the server it idles on
             self._pool.rest(self)
             self.rested_us = idle_since_us or self.rested_us
@@ -205,11 +205,11 @@
         else:
             if self.transport.is_closing():  # the write itself failed: the kernel has taken no byte
                 self._end(Result(AttemptOutcome.BROKE_UNSENT), "closed by the instance", keep=False)
-            elif call.flow is not None:
-                self._upload = call.flow
+            elif call.body_stream is not None:
+                self._upload = call.body_stream
                 bound(self.transport)
-                call.flow.attach(self)
-                call.flow.want(not self._unwritten)
+                call.body_stream.attach(self)
+                call.body_stream.set_reading(not self._unwritten)
             elif not self._unwritten:
                 self._written()
 
@@ -221,11 +221,11 @@
 
     # The sink of a request's body
 
-    def flow_piece(self, data: bytes) -> None:
+    def body_data(self, data: bytes) -> None:
         if self._upload is not None and self.transport:
             self._put(chunk(data) if self._upload.size < 0 else data)
 
-    def flow_end(self, whole: bool) -> None:
+    def body_end(self, whole: bool) -> None:
         upload, self._upload = self._upload, None
         if not whole:
             self._end(Result(AttemptOutcome.UNFINISHED), "the client left it unfinished", keep=False)
@@ -244,13 +244,13 @@
 
     # The source of an answer's body
 
-    def flow_want(self, on: bool) -> None:
+    def set_body_reading(self, on: bool) -> None:
         if self.transport and on is self._paused and not self.transport.is_closing():
             self._paused, self._heard_us = not on, self._pool.clock()
             (self.transport.resume_reading if on else self.transport.pause_reading)()
 
-    def flow_dropped(self) -> None:
-        self._flow = None
+    def body_abandoned(self) -> None:
+        self._body_stream = None
         self.close()
 
     def give_up(self) -> None:
@@ -272,9 +272,9 @@
         if self._upload is not None:
             upload, self._upload = self._upload, None
             upload.detach()
-        if self._flow is not None:
-            flow, self._flow = self._flow, None
-            flow.end(False)
+        if self._body_stream is not None:
+            body_stream, self._body_stream = self._body_stream, None
+            body_stream.feed_end(False)
         if self.transport:
             self.transport.abort()
 
@@ -290,12 +290,12 @@
     def pause_writing(self) -> None:
         self._unwritten = True
         if self._upload is not None:
-            self._upload.want(False)
+            self._upload.set_reading(False)
 
     def resume_writing(self) -> None:
         self._unwritten = False
         if self._upload is not None:
-            self._upload.want(True)
+            self._upload.set_reading(True)
         else:
             self._written()
 
@@ -305,7 +305,7 @@
             and self._length < 0
             and not self._headers.encodings
             and not self._final
-            and (self._call is not None or self._flow is not None)
+            and (self._call is not None or self._body_stream is not None)
         ):
             self._whole()  # this is how the end of an answer with no length is told
             self._ended(keep=False)
@@ -319,7 +319,7 @@
         self._pool.closed(self)
 
     def data_received(self, data: bytes) -> None:
-        if self._call is None and self._flow is None:
+        if self._call is None and self._body_stream is None:
             self.close()  # these bytes belong to no request
             return
         self._heard_us = self._pool.clock()
@@ -367,8 +367,8 @@
                 )
             ):
                 self._begin_flow(self._call)
-            if not self._stall and (self._call is not None or self._flow is not None):
-                self._stall = self._pool.wheel.at(
+            if not self._stall and (self._call is not None or self._body_stream is not None):
+                self._stall = self._pool.wheel.call_at(
                     self._heard_us + int(PAUSE_S * 1e6), ServerConnection._stalled, self
                 )
 
@@ -384,14 +384,14 @@
             call.ended(Result(AttemptOutcome.GARBLED), "a long answer to half a request")
             return
         held, self._body, self._call = self._body, [], None
-        flow = self._flow = Flow(self._length, self)
+        body_stream = self._body_stream = BodyStream(self._length, self)
         bound(self.transport)
         report = self._pool.reports.read(self._headers.fields.get(LOAD))
-        call.ended(Result(AttemptOutcome.SERVED, report, Served(b"", head, flow)), "")
-        if not flow.attached:
-            flow.drop()
+        call.ended(Result(AttemptOutcome.SERVED, report, Response(b"", head, body_stream)), "")
+        if not body_stream.is_attached:
+            body_stream.abandon()
         for piece in held:
-            flow.piece(piece)
+            body_stream.feed_data(piece)
 
     # The parser's side
 
@@ -447,8 +447,8 @@
         if self._size > BODY_MOST:
             self._spoilt = "too long"
         elif self._call is None:
-            if self._flow is not None:
-                self._flow.piece(body)
+            if self._body_stream is not None:
+                self._body_stream.feed_data(body)
         elif self._status == 200:
             self._body.append(body)
 
@@ -479,7 +479,7 @@
         report = self._pool.reports.read(fields.get(LOAD))
         if self._status == 200:
             return Result(
-                AttemptOutcome.SERVED, report, Served(b"".join(self._body), self._headers.passed_on())
+                AttemptOutcome.SERVED, report, Response(b"".join(self._body), self._headers.passed_on())
             )
         if self._status in (503, 504) and fields.get(UNPROCESSED) == b"1":
             return Result(AttemptOutcome.TURNED_AWAY, report)
@@ -491,7 +491,7 @@
         call, self._call = self._call, None
         self._quiet()
         upload, self._upload = self._upload, None
-        flow, self._flow = self._flow, None
+        body_stream, self._body_stream = self._body_stream, None
         if keep and upload is None and self.transport:
             if self._paused:
                 self._paused = False
@@ -507,8 +507,8 @@
             upload.detach()
         if call:
             call.ended(result, error)
-        elif flow is not None:
-            flow.end(result.outcome is AttemptOutcome.SERVED)
+        elif body_stream is not None:
+            body_stream.feed_end(result.outcome is AttemptOutcome.SERVED)
 
     def _ended(self, keep: bool) -> None:
         """The answer is whole, or cannot be used."""
@@ -518,7 +518,7 @@
             self._end(self._answer, "", keep)
 
     def _broke(self, error: str) -> None:
-        if self._call is None and self._flow is None:
+        if self._call is None and self._body_stream is None:
             return
         if self._call is not None and (self._unwritten or self._upload is not None):
             outcome = AttemptOutcome.BROKE_UNSENT
@@ -529,12 +529,12 @@
 
     def _stalled(self) -> None:
         self._stall = None
-        if self._call is None and self._flow is None:
+        if self._call is None and self._body_stream is None:
             return
         now = self._pool.clock()
-        until = self._heard_us + int((PAUSE_S if self._flow is None else FLOW_PAUSE_S) * 1e6)
+        until = self._heard_us + int((PAUSE_S if self._body_stream is None else FLOW_PAUSE_S) * 1e6)
         if self._paused or until > now:
-            self._stall = self._pool.wheel.at(
+            self._stall = self._pool.wheel.call_at(
                 max(until, now + int(PAUSE_S * 1e6)), ServerConnection._stalled, self
             )
         else:
--- a/roadlb/net/server_connections.py
+++ b/roadlb/net/server_connections.py
@@ -12,7 +12,7 @@
 from ..exchange import AttemptOutcome, Attempt, Result
 from ..log import Limit, fields
 from ..policy.interface import ServerId
-from ..wheel import Wheel
+from ..wheel import TimerWheel
 from .headers import LoadReports
 from .server_connection import Call
 from .pool import Pool
@@ -32,7 +32,7 @@
     """The engine's executor over HTTP/1.1; told by discovery where instances listen."""
 
     def __init__(
-        self, config: Config, engine: Engine, counters: Counters, clock: Clock, wheel: Wheel
+        self, config: Config, engine: Engine, counters: Counters, clock: Clock, wheel: TimerWheel
     ) -> None:
         self._engine, self._counters, self._clock, self._wheel = engine, counters, clock, wheel
         self._listed: dict[ServerId, tuple[str, Address]] = {}
@@ -94,8 +94,12 @@
     # The engine's executor
 
     def start(self, attempt: Attempt) -> None:
-        flow = attempt.message.flow
-        if attempt.until_us <= attempt.started_us or flow is not None and not flow.free:
+        body_stream = attempt.message.body_stream
+        if (
+            attempt.deadline_at_us <= attempt.started_us
+            or body_stream is not None
+            and not body_stream.is_attachable
+        ):
             self._engine.attempt_ended(attempt, Result(AttemptOutcome.NEVER_STARTED))
             return
 
@@ -105,7 +109,7 @@
             self._engine.attempt_ended(attempt, result)
 
         call = self._calls[attempt] = Call(
-            attempt.server, attempt.until_us, ended, attempt, self._written, flow
+            attempt.server, attempt.deadline_at_us, ended, attempt, self._written, body_stream
         )
         self._go(call)
 
@@ -125,10 +129,10 @@
     def extend(self, attempt: Attempt) -> None:
         """The last byte of its body has come: from now on its answer is waited for."""
         if call := self._calls.get(attempt):
-            call.until_us = attempt.until_us
+            call.deadline_at_us = attempt.deadline_at_us
             if call.timer:
                 call.timer.cancel()
-            call.timer = self._wheel.at(call.until_us, self._timed_out, call)
+            call.timer = self._wheel.call_at(call.deadline_at_us, self._timed_out, call)
 
     def probe(self, server: ServerId) -> None:
         began_us = self._clock()
@@ -145,7 +149,7 @@
     # Calls
 
     def _go(self, call: Call) -> None:
-        call.timer = self._wheel.at(call.until_us, self._timed_out, call)
+        call.timer = self._wheel.call_at(call.deadline_at_us, self._timed_out, call)
         try:
             self.pool.start(call)
         except Exception:
--- a/roadlb/net/server_request.py
+++ b/roadlb/net/server_request.py
@@ -17,12 +17,12 @@
     left_ms = left_us // US_PER_MS
     if left_ms <= 0:
         return b""
-    flow, body, length = message.flow, message.body, b""
-    if flow is not None and flow.size < 0:
+    body_stream, body, length = message.body_stream, message.body, b""
+    if body_stream is not None and body_stream.size < 0:
         length = b"Transfer-Encoding: chunked\r\n"
         body = chunk(body)
     elif message.method != b"GET":  # which has no body here; of any other an empty one is told
-        length = b"Content-Length: %d\r\n" % (flow.size if flow is not None else len(body))
+        length = b"Content-Length: %d\r\n" % (body_stream.size if body_stream is not None else len(body))
     return b"%b %b HTTP/1.1\r\n%bX-Time-Left: %d.%03d\r\n%b\r\n%b" % (
         message.method,
         message.target,
--- a/roadlb/net/sharing.py
+++ b/roadlb/net/sharing.py
@@ -130,7 +130,7 @@
                     )
                 )
             )
-        self._do(Pulse(self._engine.view(), self._engine.asked_and_refused()[0]))
+        self._do(Pulse(self._engine.view(), self._engine.request_counts()[0]))
 
     def _do(self, event: Event) -> None:
         for action in self.told.handle(self._clock(), event):
--- a/roadlb/own_load.py
+++ b/roadlb/own_load.py
@@ -41,7 +41,7 @@
         self._clock, self._engine, self._tighten = clock, engine, tighten
         self._loop, now = asyncio.get_running_loop(), clock()
         self._pulse = Pulse(now)
-        self._meter = Meter(now, self._pulse, limits, cpu_us, memory, descriptors, engine.asked_and_refused)
+        self._meter = Meter(now, self._pulse, limits, cpu_us, memory, descriptors, engine.request_counts)
         self._controller = Controller(aim_us, REFUSAL)
         self._reading = Reading(0, 0.0)
         self._read_at, self._next = now + READ_US, self._loop.call_soon(self._beat)
@@ -75,7 +75,7 @@
         self._reading = self._meter.read(now)
         for action in self._controller.handle(now, self._reading):
             if isinstance(action, Shed):
-                self._engine.shortage(action.share)
+                self._engine.set_shed_share(action.share)
             elif isinstance(action, Tighten):
                 logger.info("tighten", extra=fields(on=action.on, **self.figures()))
                 self._tighten(action.on)
--- a/roadlb/wheel.py
+++ b/roadlb/wheel.py
@@ -45,7 +45,7 @@
             self._slot.live -= 1
 
 
-class Wheel:
+class TimerWheel:
     """Calls functions at times of a clock, at most one slot late (and by as much as the loop is behind)."""
 
     def __init__(self, clock: Clock) -> None:
@@ -56,7 +56,7 @@
         self._next: asyncio.TimerHandle | None = None
         self._next_slot = 0  # the one that `_next` is for
 
-    def at(self, when_us: int, call: Callable[[Any], None], arg: Any) -> Timer:
+    def call_at(self, when_us: int, call: Callable[[Any], None], arg: Any) -> Timer:
         """Call `call(arg)` once the clock has reached `when_us`."""
         number = -(-when_us // SLOT_US)
         slot = self._slots.get(number)
--- a/roadlb/wiring/optional.py
+++ b/roadlb/wiring/optional.py
@@ -67,7 +67,7 @@
         engine, config = app.engine, app.config
 
         def lapse_at(us: int) -> None:
-            engine.lapse_us = us
+            engine.lease_expires_us = us
 
         try:
             disk = Directory(Path(told.store)) if told.store else None
@@ -89,7 +89,7 @@
             app.changed,
         )
         self._following.load()
-        engine.lapsed, app.discovery.drained = self._following.lapsed, self._following.drained
+        engine.on_lease_expired, app.discovery.drained = self._following.lapsed, self._following.drained
 
     async def start(self) -> None:
         self._following.start()
@@ -149,7 +149,7 @@
             app.engine,
             app.counters,
             app.clock,
-            merging.shares if merging else lambda instances, heard: app.engine.heard(heard),
+            merging.shares if merging else lambda instances, heard: app.engine.update_shared_state(heard),
             app.discovery.names,
         )
         if merging:
--- a/setup.py
+++ b/setup.py
@@ -11,7 +11,7 @@
 HOT = (
     "clock",
     "wheel",
-    "flow",
+    "body_stream",
     "exchange",
     "engine",
     "routing/cold",
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -23,11 +23,11 @@
     AttemptOutcome,
     Exchange,
     Attempt,
-    Failed,
+    Failure,
     Message,
     Refusal,
     Result,
-    Served,
+    Response,
 )
 from roadlb.log import KeyValueFormatter, fields
 from roadlb.net.headers import Faulty, Headers, LoadReports
@@ -55,7 +55,7 @@
     TimerFired,
 )
 from roadlb.policy.logic import Balancer
-from roadlb.wheel import Wheel
+from roadlb.wheel import TimerWheel
 
 NODE = server_id("s-1")
 ANSWERS: list[tuple[int, Answer]] = []
@@ -93,7 +93,7 @@
 
 
 def engine(decider: object) -> tuple[Engine, Recorder]:
-    made = Engine(decider, Counters(), monotonic_us, Wheel(monotonic_us))  # type: ignore[arg-type]
+    made = Engine(decider, Counters(), monotonic_us, TimerWheel(monotonic_us))  # type: ignore[arg-type]
     recorder = Recorder()
     made.executor = recorder
     return made, recorder
@@ -139,9 +139,9 @@
         x = exchange()
         made.open(x)
         (attempt,) = recorder.started
-        assert attempt.server == NODE and attempt.until_us <= x.until_us
-        made.attempt_ended(attempt, Result(AttemptOutcome.SERVED, (), Served(b"body")))
-        assert x.answer == Served(b"body") and not made._open
+        assert attempt.server == NODE and attempt.deadline_at_us <= x.deadline_at_us
+        made.attempt_ended(attempt, Result(AttemptOutcome.SERVED, (), Response(b"body")))
+        assert x.answer == Response(b"body") and not made._open
 
     run(main)
 
@@ -155,8 +155,8 @@
         made.open(broken)
         made.open(sound)
         assert isinstance(broken.answer, Refusal) and not sound.closed
-        made.attempt_ended(recorder.started[0], Result(AttemptOutcome.SERVED, (), Served(b"")))
-        assert sound.answer == Served(b"")
+        made.attempt_ended(recorder.started[0], Result(AttemptOutcome.SERVED, (), Response(b"")))
+        assert sound.answer == Response(b"")
 
     run(main)
 
@@ -172,7 +172,7 @@
         decider.replies[Outcome] = decider.replies[ClientGone] = lambda e: [][1]
         made._give_up(x, "test")
         made.attempt_ended(recorder.started[0], Result(AttemptOutcome.RESET))
-        assert x.answer == Failed("test") and not made._open
+        assert x.answer == Failure("test") and not made._open
         assert made._counters["fault.engine"] == 2
 
     run(main)
@@ -248,7 +248,7 @@
         assert [e.outcome for e in second.attempts] == [AttemptOutcome.NEVER_STARTED]
         (ended,) = [e for e in decider.events if isinstance(e, Outcome)]
         assert (ended.request, ended.attempt, ended.closed) == (second.id, 0, True)
-        assert made.current == 0 and not made._open
+        assert made.requests_in_flight == 0 and not made._open
 
     run(main)
 
@@ -264,7 +264,7 @@
         made.open(two)
         assert isinstance(two.answer, Refusal) and not one.closed
         assert len(decider.events) == 1
-        made.finish()
+        made.give_up_all()
         assert isinstance(one.answer, Refusal)
 
     run(main)
@@ -276,7 +276,7 @@
             Decider(),  # type: ignore[arg-type]
             Counters(),
             monotonic_us,
-            Wheel(monotonic_us),
+            TimerWheel(monotonic_us),
             max_open=0,
             retry_after_us=0,
         )
@@ -499,12 +499,12 @@
     async def main() -> None:
         now, called = 0, []
         done = asyncio.Event()
-        wheel = Wheel(lambda: now)
-        wheel.at(20_000, lambda x: [][x], 1)
+        wheel = TimerWheel(lambda: now)
+        wheel.call_at(20_000, lambda x: [][x], 1)
         for at in (30_001, 10_000, 20_000, 0):
-            wheel.at(at, lambda at: called.append((at, now)), at)
-        wheel.at(10_000, called.append, "cancelled").cancel()
-        wheel.at(60_000, lambda x: done.set(), None)
+            wheel.call_at(at, lambda at: called.append((at, now)), at)
+        wheel.call_at(10_000, called.append, "cancelled").cancel()
+        wheel.call_at(60_000, lambda x: done.set(), None)
         while not done.is_set():
             now += 1_000
             await asyncio.sleep(0.0005)
--- a/tests/engine/test_own_load.py
+++ b/tests/engine/test_own_load.py
@@ -12,13 +12,13 @@
 from roadlb.clock import monotonic_us
 from roadlb.counters import Counters
 from roadlb.engine import Engine
-from roadlb.exchange import Answer, AttemptOutcome, Exchange, Message, Refusal, Result, Served
+from roadlb.exchange import Answer, AttemptOutcome, Exchange, Message, Refusal, Result, Response
 from roadlb.overload.meter import Limits
 from roadlb.overload.pulse import BEAT_US
 from roadlb.own_load import LATE_ENOUGH_US, OwnLoad
 from roadlb.policy.interface import Action, Event, ListKind, Member, RequestClass, Settings, Shortage
 from roadlb.policy.logic import Balancer
-from roadlb.wheel import Wheel
+from roadlb.wheel import TimerWheel
 
 NODE = b"s1"
 
@@ -82,7 +82,7 @@
     async def main() -> None:
         now = 1_000_000_000
         heard = Heard()
-        engine = Engine(heard, Counters(), lambda: now, Wheel(lambda: now))
+        engine = Engine(heard, Counters(), lambda: now, TimerWheel(lambda: now))
         load = OwnLoad(lambda: now, engine, Limits(1.0), 500_000, lambda: 1, lambda on: None, lambda: 0)
         now += 10_000 + late_us  # the beat is due after 10 ms
         assert now - load.came_us(Transport(ago_ms)) == came_before_us  # type: ignore[arg-type]
@@ -95,7 +95,7 @@
     async def main() -> None:
         now, cpu = 1_000_000_000, 0
         heard, tight = Heard(), list[bool]()
-        engine = Engine(heard, Counters(), lambda: now, Wheel(lambda: now))
+        engine = Engine(heard, Counters(), lambda: now, TimerWheel(lambda: now))
         load = OwnLoad(
             lambda: now, engine, Limits(0.5, sockets=100), 80_000, lambda: 90, tight.append, lambda: cpu
         )
@@ -116,9 +116,9 @@
     async def main() -> None:
         now = monotonic_us()
         settings = Settings(classes=[RequestClass("grid-read", 500_000, 2_500_000)])
-        engine = Engine(Balancer(settings, 1), Counters(), lambda: now, Wheel(lambda: now))
+        engine = Engine(Balancer(settings, 1), Counters(), lambda: now, TimerWheel(lambda: now))
         engine.executor = executor = Executor()
-        engine.shortage(0.0)  # the first reading is always told
+        engine.set_shed_share(0.0)  # the first reading is always told
         engine.list_update(ListKind.FULL, [Member(NODE)])
         answers: list[Answer] = []
 
@@ -140,7 +140,7 @@
         for _ in range(3):
             ask(now)
             now += 50_000
-            engine.attempt_ended(executor.started[-1], Result(AttemptOutcome.SERVED, (), Served(b"")))
+            engine.attempt_ended(executor.started[-1], Result(AttemptOutcome.SERVED, (), Response(b"")))
         ask(now - 390_000)
         assert isinstance(answers[-1], Refusal) and len(executor.started) == 3
         ask(now - 200_000)
--- a/tests/following/test_following.py
+++ b/tests/following/test_following.py
@@ -24,7 +24,7 @@
 from roadlb.following.following import Following
 from roadlb.policy.interface import Heard, Settings
 from roadlb.store.disk import Directory
-from roadlb.wheel import Wheel
+from roadlb.wheel import TimerWheel
 from roadlb.xds.client import choice
 from roadlb.xds.grpc.dial import dial
 
@@ -86,7 +86,7 @@
         self.states: list[dict[str, str]] = []
         self.heard: list[Heard] = []
         self.rules: list[Settings] = []
-        self.lapse_us, self.wall_jump_us = 0, 0
+        self.lease_expires_us, self.wall_jump_us = 0, 0
         self.counters = Counters()
         self.following = Following(
             agreement,
@@ -114,7 +114,7 @@
         self.states.append(dict(self.list))
 
     def lapse(self, at_us: int) -> None:
-        self.lapse_us = at_us
+        self.lease_expires_us = at_us
 
     @property
     def open(self) -> set[str]:
@@ -181,7 +181,7 @@
             await until(lambda: bool(ctl.sessions), "a stream")
             ctl.propose(contents(*GOOD))
             await until(lambda: it.standing is Standing.GRANTED, "a lease")
-            assert it.open == {"a1", "a2", "b1", "b2"} and it.lapse_us > monotonic_us()
+            assert it.open == {"a1", "a2", "b1", "b2"} and it.lease_expires_us > monotonic_us()
             ctl.propose(contents(*fleet("a1", "a2", "b1", "b2", drained=("a1",))))
             await until(lambda: it.open == {"a2", "b1", "b2"}, "the drain")
             await until(lambda: it.following.drained("a1", 1_000), "the drain is remembered")
@@ -263,9 +263,9 @@
             await until(lambda: it.standing is Standing.GRANTED, "a lease")
             follower, real = it.following.follower, it.following._clock
             it.following._clock = lambda: real() + 10 * TIMING.lease_us  # as after SIGSTOP
-            assert follower.until == it.lapse_us
+            assert follower.until == it.lease_expires_us
             it.following.lapsed()
-            assert it.heard[-1].wholes == {0: 0.0} and it.lapse_us > 1 << 60
+            assert it.heard[-1].wholes == {0: 0.0} and it.lease_expires_us > 1 << 60
             it.following._clock = real
 
     played(test)
@@ -493,12 +493,15 @@
 
     async def test() -> None:
         now, record = [1_000], Record()
-        engine = Engine(record, Counters(), lambda: now[0], Wheel(lambda: now[0]))
-        engine.lapse_us, engine.lapsed = 5_000, lambda: engine.heard(Heard(quotas={0: 0.0}))
-        engine.shortage(0.0)
+        engine = Engine(record, Counters(), lambda: now[0], TimerWheel(lambda: now[0]))
+        engine.lease_expires_us, engine.on_lease_expired = (
+            5_000,
+            lambda: engine.update_shared_state(Heard(quotas={0: 0.0})),
+        )
+        engine.set_shed_share(0.0)
         now[0] = 9_000
-        engine.shortage(0.5)
-        engine.shortage(0.0)
+        engine.set_shed_share(0.5)
+        engine.set_shed_share(0.0)
         assert [type(event).__name__ for event in record.events] == [
             "Shortage",
             "Heard",
--- a/tests/house/test_footprint.py
+++ b/tests/house/test_footprint.py
@@ -25,7 +25,7 @@
     "counters",
     "engine",
     "exchange",
-    "flow",
+    "body_stream",
     "log",
     "own_load",
     "wheel",
--- a/tests/lab/run/faulty_balancers.py
+++ b/tests/lab/run/faulty_balancers.py
@@ -13,11 +13,11 @@
     AttemptOutcome,
     Exchange,
     Attempt,
-    Failed,
+    Failure,
     Message,
     Refusal,
     Result,
-    Served,
+    Response,
 )
 from roadlb.lab.sim import SimLoop
 from roadlb.lifecycle.lifecycle import Event
@@ -69,23 +69,23 @@
 class Swaps(Answers):
     """A client gets the answer that another one got before."""
 
-    last: Answer = Failed("none yet")
+    last: Answer = Failure("none yet")
 
     def wrong(self, answer: Answer) -> Answer:
         last, self.last = self.last, answer
-        return last if isinstance(last, Served) else answer
+        return last if isinstance(last, Response) else answer
 
 
 class Alters(Answers):
     def wrong(self, answer: Answer) -> Answer:
-        return replace(answer, body=answer.body[:-2] + b"?\n") if isinstance(answer, Served) else answer
+        return replace(answer, body=answer.body[:-2] + b"?\n") if isinstance(answer, Response) else answer
 
 
 class Refuses(Answers):
     """What has failed is called a refusal: the client believes that trying again is harmless."""
 
     def given(self, exchange: Exchange, answer: Answer, give: Callable[[Exchange, Answer], None]) -> None:
-        give(exchange, Refusal(0) if isinstance(answer, Failed) else answer)
+        give(exchange, Refusal(0) if isinstance(answer, Failure) else answer)
 
 
 class Repeats(App):
--- a/tests/lifecycle/test_leaving.py
+++ b/tests/lifecycle/test_leaving.py
@@ -115,8 +115,8 @@
         client = called(stage)
         client.send(request(1, "/order/k", "POST", "half")[:-2])
         await reached(lambda: any(c.started_us for c in app.frontend.connections))
-        over, finish = asyncio.Event(), app.engine.finish
-        app.engine.finish = lambda after: (finish(after), over.set())  # type: ignore[method-assign,assignment]
+        over, finish = asyncio.Event(), app.engine.give_up_all
+        app.engine.give_up_all = lambda after: (finish(after), over.set())  # type: ignore[method-assign,assignment]
         app.lifecycle.longest_us = 0
         app._life(Event.LEAVE)
         await over.wait()
@@ -246,7 +246,7 @@
     async def what(stage: Stage) -> None:
         app = stage.app
         # The schedule is played by hand: its wakes are ours to give.
-        app.wheel.at = lambda when, call, arg: None  # type: ignore[method-assign,assignment]
+        app.wheel.call_at = lambda when, call, arg: None  # type: ignore[method-assign,assignment]
         start = app.clock()
         for event, at, status in (
             (Event.OUT_OF_SERVICE, 0, "200"),
--- a/tests/net/attempt_rig.py
+++ b/tests/net/attempt_rig.py
@@ -23,7 +23,7 @@
 from roadlb.exchange import Answer, AttemptOutcome, Exchange, Message
 from roadlb.net.server_connections import ServerConnections
 from roadlb.policy.interface import NEVER_RAN, Action, Arrival, Event, Fail, Outcome, Send, ServerId
-from roadlb.wheel import Wheel
+from roadlb.wheel import TimerWheel
 
 LIMIT_S = 10.0  # a step that has not happened by then never will
 HELD_UP_MS = 1_000
@@ -171,7 +171,7 @@
         self.counters = Recorded()
         self.moved_us = 0
         self.decider = Decider(self.ids)
-        wheel = Wheel(self.clock)
+        wheel = TimerWheel(self.clock)
         self.engine = Engine(self.decider, self.counters, self.clock, wheel)
         config = replace(CONFIG, dial_timeout_us=int(LIMIT_S * 1e6))
         self.instances = ServerConnections(config, self.engine, self.counters, self.clock, wheel)
--- a/tests/net/harness.py
+++ b/tests/net/harness.py
@@ -20,12 +20,12 @@
 from roadlb.clock import Clock
 from roadlb.config import Address, read_config
 from roadlb.counters import Counters
-from roadlb.engine import UPLOAD_US, Engine
-from roadlb.exchange import AttemptOutcome, Exchange, Attempt, Message, Result, Served
+from roadlb.engine import UPLOAD_TIMEOUT_US, Engine
+from roadlb.exchange import AttemptOutcome, Exchange, Attempt, Message, Result, Response
 from roadlb.net.server_connections import ServerConnections
 from roadlb.net.frontend import Frontend
 from roadlb.policy.interface import Action, Arrival, Event, Fail, Outcome, Send
-from roadlb.wheel import Wheel
+from roadlb.wheel import TimerWheel
 
 T = TypeVar("T")
 Pairs = list[tuple[str, str]]
@@ -84,18 +84,18 @@
 def new_engine(module: Module, counters: Counters) -> Engine:
     clock = _clock()
     names = [c.name for c in CONFIG.settings.classes]
-    return Engine(module, counters, clock, Wheel(clock), class_names=names)  # type: ignore[arg-type]
+    return Engine(module, counters, clock, TimerWheel(clock), class_names=names)  # type: ignore[arg-type]
 
 
 def new_service_client(engine: Engine, counters: Counters) -> Callable[[], asyncio.Protocol]:
     """A factory of clients' connections."""
     clock = _clock()
-    return Frontend(CONFIG, engine, counters, lambda: True, clock, Wheel(clock))
+    return Frontend(CONFIG, engine, counters, lambda: True, clock, TimerWheel(clock))
 
 
 def new_instances(engine: Engine, counters: Counters) -> ServerConnections:
     clock = _clock()
-    instances = ServerConnections(CONFIG, engine, counters, clock, Wheel(clock))
+    instances = ServerConnections(CONFIG, engine, counters, clock, TimerWheel(clock))
     instances.list_update({NODE_ID: ("s1", Address("127.0.0.1", 9))}, [], whole=True)
     return instances
 
@@ -113,17 +113,17 @@
 class Collector:
     """The far end of a body that flows: puts it behind what was held, and tells how it ended."""
 
-    def __init__(self, kept: Message | Served, ended: Callable[[bool], None] = lambda whole: None) -> None:
+    def __init__(self, kept: Message | Response, ended: Callable[[bool], None] = lambda whole: None) -> None:
         self.kept, self.ended = kept, ended
         self.whole: bool | None = None
-        assert kept.flow
-        kept.flow.attach(self)
-        kept.flow.want(True)
+        assert kept.body_stream
+        kept.body_stream.attach(self)
+        kept.body_stream.set_reading(True)
 
-    def flow_piece(self, data: bytes) -> None:
+    def body_data(self, data: bytes) -> None:
         self.kept.body += data
 
-    def flow_end(self, whole: bool) -> None:
+    def body_end(self, whole: bool) -> None:
         self.whole = whole
         self.ended(whole)
 
@@ -135,7 +135,7 @@
     """A read, as the clients' side would open it."""
 
     def answered(exchange: Exchange, answer: object) -> None:
-        if isinstance(answer, Served) and answer.flow:
+        if isinstance(answer, Response) and answer.body_stream:
             FLOWS[exchange] = Collector(answer)
 
     return Exchange(Message(b"GET", b"/grid-read/k"), 0, 0, 1, 2_000_000, 0, False, answered)
@@ -164,12 +164,12 @@
     )
 
 
-def served_headers(answer: Served) -> Pairs:
+def served_headers(answer: Response) -> Pairs:
     return _pairs(answer.head)
 
 
-def new_served(body: bytes) -> Served:
-    return Served(body)
+def new_served(body: bytes) -> Response:
+    return Response(body)
 
 
 def _pairs(head: bytes) -> Pairs:
@@ -331,7 +331,7 @@
     def start(self, attempt: Attempt) -> None:
         self.started.append(attempt)
         body = served_body(len(self.started) - 1)
-        if attempt.message.flow:
+        if attempt.message.body_stream:
             Collector(attempt.message, lambda whole: whole and self._wait(attempt, body, self._turns))
         else:
             self._wait(attempt, body, self._turns)
@@ -517,7 +517,7 @@
         "tenant": 0,
         "key": key if any(last) else 0,
         "work_us": 0,
-        "left_us": UPLOAD_US if arrival.coming else 2_000_000 if method == "POST" else 2_500_000,
+        "left_us": UPLOAD_TIMEOUT_US if arrival.coming else 2_000_000 if method == "POST" else 2_500_000,
         "is_retry": False,
     }
     told = {name: getattr(arrival, name) for name in usual}
@@ -612,14 +612,14 @@
         else:
             outcome.ending = flow_of(first) or first.attempts[0].outcome.value
             answer = answer_of(first)
-            if isinstance(answer, Served):
+            if isinstance(answer, Response):
                 outcome.headers, outcome.body = served_headers(answer), answer.body
             outcome.report = module.reports[0]
             second = await ask()
             used = loop.wires[-1]
             await play(loop, used, [SECOND_ANSWER], 1)
             ending, answer = second.attempts[0].outcome, answer_of(second)
-            good = isinstance(answer, Served) and answer.body == SECOND_ANSWER[-6:]
+            good = isinstance(answer, Response) and answer.body == SECOND_ANSWER[-6:]
             outcome.next = "reused" if used is wire else "dials anew" if wire.end else "dials anew beside it"
             outcome.next += "" if good else f", then {ending} {answer}"
         await closed(instances)
--- a/tests/net/test_attempt_crossings.py
+++ b/tests/net/test_attempt_crossings.py
@@ -12,7 +12,7 @@
 from scenario import play as scenario_play
 from scenario import run as run_scenario
 
-from roadlb.exchange import AttemptOutcome, Exchange, Served
+from roadlb.exchange import AttemptOutcome, Exchange, Response
 from roadlb.policy.interface import Action, Arrival, Outcome, Send
 
 LEFT_US = 2_000_000
@@ -32,7 +32,7 @@
         assert LEFT_US - LATE_US - 1_000_000 < told_us <= LEFT_US - LATE_US
         link.answer()
         await rig.answered.wait()
-        assert isinstance(rig.answers[0], Served)
+        assert isinstance(rig.answers[0], Response)
 
     play(main)
 
@@ -212,7 +212,7 @@
         rig.list([], draining=(b"s0",))
         link.answer()
         await rig.answered.wait()
-        assert isinstance(rig.answers[0], Served)
+        assert isinstance(rig.answers[0], Response)
 
     play(main)
 
--- a/tests/net/test_broken_writes.py
+++ b/tests/net/test_broken_writes.py
@@ -11,7 +11,7 @@
 from harness import CONFIG
 
 from roadlb.config import IDLE_PART
-from roadlb.exchange import AttemptOutcome, Exchange, Failed, Served
+from roadlb.exchange import AttemptOutcome, Exchange, Failure, Response
 from roadlb.net.server_connection import ServerConnection
 from roadlb.net.pool import SETTLE_US
 from roadlb.policy.interface import Outcome
@@ -88,7 +88,7 @@
         assert (await other.request()).endswith(b"x" * BODY_BYTES)
         other.answer()
         await rig.answered.wait()
-        assert isinstance(rig.answers[0], Served)
+        assert isinstance(rig.answers[0], Response)
 
     play(main)
 
@@ -102,7 +102,7 @@
         link.reset()
         assert await rig.ended(order, 0) is AttemptOutcome.RESET
         await rig.answered.wait()
-        assert isinstance(rig.answers[0], Failed) and len(order.attempts) == 1
+        assert isinstance(rig.answers[0], Failure) and len(order.attempts) == 1
 
     play(main)
 
@@ -123,7 +123,7 @@
         link.reset()
         assert await rig.ended(order, 0) is AttemptOutcome.RESET
         await rig.answered.wait()
-        assert isinstance(rig.answers[0], Failed) and len(order.attempts) == 1
+        assert isinstance(rig.answers[0], Failure) and len(order.attempts) == 1
 
     play(main)
 
@@ -139,7 +139,7 @@
         assert (await other.request()).endswith(b"x" * 9)
         other.answer()
         await rig.answered.wait()
-        assert isinstance(rig.answers[0], Served) and len(order.attempts) == 1
+        assert isinstance(rig.answers[0], Response) and len(order.attempts) == 1
 
     play(lambda: main(True))
     play(lambda: main(False))
@@ -175,7 +175,7 @@
         assert (await other.request()).endswith(b"x" * 9)
         other.answer()
         await rig.answered.wait()
-        assert isinstance(rig.answers[0], Served)
+        assert isinstance(rig.answers[0], Response)
 
     play(main)
 
@@ -191,7 +191,7 @@
         other.answer(b"other")
         await rig.answered.wait()
         (answer,) = rig.answers
-        assert isinstance(answer, Served) and answer.body == b"other"
+        assert isinstance(answer, Response) and answer.body == b"other"
         assert await link.rest() == b""
 
     play(main)
@@ -211,7 +211,7 @@
         assert order.attempts[0].outcome in (AttemptOutcome.BROKE_UNSENT, AttemptOutcome.DIAL_FAILED)
         other.answer()
         await rig.answered.wait()
-        assert isinstance(rig.answers[0], Served)
+        assert isinstance(rig.answers[0], Response)
 
     play(main)
 
@@ -315,7 +315,7 @@
         assert await links[1].rest() == b""  # closed: what came belongs to no request
         links[0].answer(b"three")
         assert await rig.ended(third, 0) is AttemptOutcome.SERVED
-        assert isinstance(third.answer, Served) and third.answer.body == b"three"
+        assert isinstance(third.answer, Response) and third.answer.body == b"three"
         await rig.instances.close()
 
     play(main)
--- a/tests/net/test_client_leaves.py
+++ b/tests/net/test_client_leaves.py
@@ -202,7 +202,7 @@
         await until(lambda: stage.app.counters["client_gone"])
         assert stage.app.counters["taken"] == 1
         await step(stage, "i1 close")
-        await until(lambda: not stage.app.engine.current)
+        await until(lambda: not stage.app.engine.requests_in_flight)
         await over(stage)
 
     run(main(), loop)
@@ -275,7 +275,7 @@
         counters = stage.app.counters
         assert counters["client_gone"] == 1 and counters["errored.grid-read"] == 0
         assert counters["execution"] == counters["execution.cancelled"] == 2
-        await until(lambda: not stage.app.engine.current)
+        await until(lambda: not stage.app.engine.requests_in_flight)
         await over(stage)
         assert counters["execution"] == 2
 
@@ -311,7 +311,7 @@
         leave(link, how)
         await until(lambda: counters["client_gone"] == gone + 1)
         assert not dialled_ports(stage) and counters["execution.cancelled"] == cancelled + 1
-        await until(lambda: not stage.app.engine.current)
+        await until(lambda: not stage.app.engine.requests_in_flight)
         await over(stage)
         assert counters["execution"] == begun_before + 1
 
--- a/tests/net/test_flows.py
+++ b/tests/net/test_flows.py
@@ -33,7 +33,7 @@
         await settle(self.loop)
         await harness.closed(self.instances)
         await settle(self.loop)
-        assert self.engine.current == 0
+        assert self.engine.requests_in_flight == 0
 
 
 async def feed(loop: StubLoop, source: Wire, sink: Wire, pieces: list[bytes], pauses: set[int]) -> None:
