--- a/roadlb/body_stream.py
+++ b/roadlb/body_stream.py
@@ -25,11 +25,11 @@
     def body_data(self, data: bytes) -> None:
         """Write it; it may make the sink say that it wants no more for now."""
 
-    def body_end(self, whole: bool) -> None:
+    def body_end(self, is_complete: bool) -> None:
         """There is no more: all of it has come, or the source broke."""
 
 
-def unheard(whole: bool | None) -> None:
+def ignore_end(is_complete: bool | None) -> None:
     """In place of who counts how flows end."""
 
 
@@ -46,7 +46,7 @@
         self.size, self.has_delivered = size, False
         self._source: Source | None = source
         self._sink: Sink | None = None
-        self.on_end: Callable[[bool | None], None] = unheard
+        self.on_end: Callable[[bool | None], None] = ignore_end
 
     @property
     def is_attachable(self) -> bool:
@@ -73,17 +73,17 @@
         if self._source is not None:
             self._source.set_body_reading(on)
 
-    def abandon(self) -> None:
+    def discard(self) -> None:
         """The sink is no more, and there will be no other."""
         source, self._source, self._sink = self._source, None, None
         if source is not None:
             source.body_abandoned()
         self.report_end(None)
 
-    def report_end(self, whole: bool | None) -> None:
+    def report_end(self, is_complete: bool | None) -> None:
         """The sink has written out what it will: all of it or not; None: nobody wanted it."""
-        told, self.on_end = self.on_end, unheard
-        told(whole)
+        notify, self.on_end = self.on_end, ignore_end
+        notify(is_complete)
 
     # The source's side
 
@@ -92,9 +92,9 @@
             self.has_delivered = True
             self._sink.body_data(data)
 
-    def feed_end(self, whole: bool) -> None:
+    def feed_end(self, is_complete: bool) -> None:
         sink, self._source, self._sink = self._sink, None, None
         if sink is not None:
-            sink.body_end(whole)
-        elif not whole:
+            sink.body_end(is_complete)
+        elif not is_complete:
             self.report_end(None)
--- a/roadlb/engine.py
+++ b/roadlb/engine.py
@@ -56,11 +56,11 @@
 DEFAULT_RETRY_AFTER_US = 200_000  # when to come back to a program that has no room, where clients may be told
 UPLOAD_TIMEOUT_US = 600_000_000  # 32 MB at 64 kB a second take 500 s
 NO_EXPIRY_US = 1 << 62
-JUST_CAME_US = 5_000  # a request read so lately has a client that waits
-GUARD_US = 10_000  # past its deadline an exchange is answered whatever the module says
+RECENT_READ_US = 5_000  # a request read so lately has a client that waits
+DEADLINE_GRACE_US = 10_000  # past its deadline an exchange is answered whatever the module says
 
 
-class Decider(Protocol):
+class Policy(Protocol):
     """The decision module, or what stands in for it."""
 
     def handle(self, now: int, event: Event) -> list[Action]: ...
@@ -85,7 +85,7 @@
 
     def __init__(
         self,
-        balancer: Decider,
+        balancer: Policy,
         counters: Counters,
         clock: Clock,
         wheel: TimerWheel,
@@ -99,26 +99,32 @@
         self._clock, self._wheel = clock, wheel
         self._retry_after_us = retry_after_us
         self._events: deque[Event] = deque()
-        self._busy, self._now = False, 0  # carrying out an event, and when it began
+        self._is_dispatching, self._event_time_us = False, 0  # carrying out an event, and when it began
         self._next_id = 1
         self._open: dict[int, Exchange] = {}  # with an answer owed, or an attempt still out
-        self._leaving: list[Exchange] = []  # closed in this turn, whose actions may still concern them
-        self._short = False  # of this program's own means, as the module was told
-        self._flowing = 0  # answers that are on their way to clients
-        self._asked = self._refused = 0  # requests that came, and those refused before any attempt
-        self._answers = {
-            (kind, i): f"{_ANSWER[kind]}.{name}" for kind in _ANSWER for i, name in enumerate(class_names)
+        self._awaiting_removal: list[
+            Exchange
+        ] = []  # closed in this turn, whose actions may still concern them
+        self._is_process_overloaded = False  # of this program's own means, as the module was told
+        self._streaming_count = 0  # answers that are on their way to clients
+        self._arrived_count = self._refused_count = (
+            0  # requests that came, and those refused before any attempt
+        )
+        self._answer_counters = {
+            (kind, i): f"{_ANSWER_COUNTERS[kind]}.{name}"
+            for kind in _ANSWER_COUNTERS
+            for i, name in enumerate(class_names)
         }
-        self._shed = {
-            (i, short): f"shed.{name}.{'own' if short else 'fleet'}"
+        self._shed_counters = {
+            (i, is_overloaded): f"shed.{name}.{'own' if is_overloaded else 'fleet'}"
             for i, name in enumerate(class_names)
-            for short in (False, True)
+            for is_overloaded in (False, True)
         }
         self.executor: Executor | None = None
         self.on_outcome: Callable[[ServerId, Status], None] | None = None  # told of each attempt's end
         self.lease_expires_us = NO_EXPIRY_US  # what was granted for a time ends then: `lapsed` is called
         self.on_lease_expired: Callable[[], None] = lambda: None
-        self._carry_out: dict[type, Callable[[Any], None]] = {
+        self._action_handlers: dict[type, Callable[[Any], None]] = {
             Send: self._send,
             Refuse: self._refuse,
             Fail: self._fail,
@@ -142,13 +148,13 @@
             return
         exchange.id, self._next_id = self._next_id, self._next_id + 1
         now = self._clock()
-        exchange.deadline_at_us = (exchange.came_us or now) + exchange.left_us
-        if exchange.coming:
+        exchange.deadline_at_us = (exchange.arrived_us or now) + exchange.left_us
+        if exchange.is_uploading:
             exchange.deadline_at_us = now + UPLOAD_TIMEOUT_US
         self._open[exchange.id] = exchange
-        self._asked += 1
+        self._arrived_count += 1
         self._counters.add("taken")
-        self._feed(
+        self._dispatch(
             Arrival(
                 exchange.id,
                 exchange.class_index,
@@ -157,54 +163,56 @@
                 max(1, exchange.deadline_at_us - now),
                 exchange.work_us,
                 exchange.is_retry,
-                exchange.coming,
+                exchange.is_uploading,
             ),
             now,
         )
-        self._watch_over(exchange)
+        self._arm_deadline_timer(exchange)
 
-    def _watch_over(self, exchange: Exchange) -> None:
+    def _arm_deadline_timer(self, exchange: Exchange) -> None:
         """Whatever becomes of the module, the client gets its answer in time."""
-        if exchange.guard:
-            exchange.guard.cancel()
+        if exchange.deadline_timer:
+            exchange.deadline_timer.cancel()
         if exchange.answer is None:
-            exchange.guard = self._wheel.call_at(exchange.deadline_at_us + GUARD_US, self._overdue, exchange)
+            exchange.deadline_timer = self._wheel.call_at(
+                exchange.deadline_at_us + DEADLINE_GRACE_US, self._overdue, exchange
+            )
 
     def body_complete(self, exchange: Exchange) -> None:
         """The last byte of its body has come: its time begins."""
-        if exchange.closed or not exchange.coming:
+        if exchange.closed or not exchange.is_uploading:
             return
-        exchange.coming, now = False, self._clock()
-        exchange.came_us, exchange.deadline_at_us = now, now + exchange.left_us
+        exchange.is_uploading, now = False, self._clock()
+        exchange.arrived_us, exchange.deadline_at_us = now, now + exchange.left_us
         for attempt in exchange.attempts:
             if attempt.outcome is None:
                 attempt.started_us, attempt.deadline_at_us, attempt.left_us = now, exchange.deadline_at_us, 0
                 attempt.write_by_us = exchange.deadline_at_us
                 assert self.executor
                 self.executor.extend(attempt)
-        self._feed(BodyWhole(exchange.id, max(1, exchange.left_us)), now)
-        self._watch_over(exchange)
+        self._dispatch(BodyWhole(exchange.id, max(1, exchange.left_us)), now)
+        self._arm_deadline_timer(exchange)
 
     def client_gone(self, exchange: Exchange) -> None:
         if exchange.id in self._open and not exchange.closed:
-            exchange.gone = True
+            exchange.is_client_gone = True
             self._counters.add("client_gone")
-            self._feed(ClientGone(exchange.id))
-            self._withdraw(exchange)
-            self._forget(exchange)
+            self._dispatch(ClientGone(exchange.id))
+            self._forbid_unsent(exchange)
+            self._remove_if_done(exchange)
 
-    def give_up_all(self, came_after_us: int = 0) -> None:
+    def give_up_all(self, arrived_after_us: int = 0) -> None:
         """Give all that is still open, and came after this time, its answer now."""
         for exchange in list(self._open.values()):
             if not exchange.closed and (
-                exchange.coming or exchange.deadline_at_us - exchange.left_us > came_after_us
+                exchange.is_uploading or exchange.deadline_at_us - exchange.left_us > arrived_after_us
             ):
                 self._give_up(exchange, "stopping")
 
     @property
     def requests_in_flight(self) -> int:
         """Requests taken and not ended."""
-        return self._flowing + sum(not exchange.closed for exchange in self._open.values())
+        return self._streaming_count + sum(not exchange.closed for exchange in self._open.values())
 
     def view(self) -> View:
         """What the module believes of each server now."""
@@ -216,7 +224,7 @@
     @property
     def is_process_overloaded(self) -> bool:
         """Is part of the demand to be refused for want of the program's own means?"""
-        return self._short
+        return self._is_process_overloaded
 
     def check_admission(
         self, class_index: int, tenant: int, key: int, left_us: int, work_us: int
@@ -230,7 +238,7 @@
             return None
         for action in actions:
             if isinstance(action, Refuse):
-                self._asked += 1
+                self._arrived_count += 1
                 self._counters.add("offer.nack")
                 self._count_answer(Refusal, class_index)
                 self._count_shed(class_index)
@@ -239,8 +247,8 @@
 
     def set_shed_share(self, share: float) -> None:
         """At least this share of the demand is to be refused for want of the program's own means."""
-        self._short = share > 0
-        self._feed(Shortage(share))
+        self._is_process_overloaded = share > 0
+        self._dispatch(Shortage(share))
 
     def set_max_open(self, max_open: int) -> None:
         """So many exchanges may be open at once from now on."""
@@ -248,37 +256,37 @@
 
     def set_process_count(self, count: int) -> None:
         """So many processes are this one instance now."""
-        self._feed(Twins(count))
+        self._dispatch(Twins(count))
 
     def update_shared_state(self, event: Heard) -> None:
         """What balancers share, as far as this one knows by now."""
-        self._feed(event)
+        self._dispatch(event)
 
     def change_settings(self, settings: Settings) -> None:
         """These hold from now on, for what is open as `policy.interface.Changed` has it."""
-        self._feed(Changed(settings))
+        self._dispatch(Changed(settings))
 
     def override_site(self, site: int, out: bool) -> SiteView | None:
         """An operator's word on a hall, by its number, and how it stands then; None: there is no such
         hall."""
-        self._feed(SiteWord(site, out))
+        self._dispatch(SiteWord(site, out))
         return next((view for view in self.view().sites if view.site == site), None)
 
     def request_counts(self) -> tuple[int, int]:
         """Requests that have come so far, and how many of them were refused with nothing sent for them."""
-        return self._asked, self._refused
+        return self._arrived_count, self._refused_count
 
     def _count_answer(self, kind: type, class_index: int) -> None:
-        if name := self._answers.get((kind, class_index)):
+        if name := self._answer_counters.get((kind, class_index)):
             self._counters.add(name)
 
     def _count_shed(self, class_index: int) -> None:
-        self._refused += 1
-        if name := self._shed.get((class_index, self._short)):
+        self._refused_count += 1
+        if name := self._shed_counters.get((class_index, self._is_process_overloaded)):
             self._counters.add(name)
 
     def list_update(self, kind: ListKind, members: list[Member]) -> None:
-        self._feed(ListUpdate(kind, members))
+        self._dispatch(ListUpdate(kind, members))
 
     def attempt_ended(self, attempt: Attempt, result: Result) -> None:
         """The executor reports each attempt's end exactly once."""
@@ -287,7 +295,7 @@
         if result.answer is not None:
             self._answer(exchange.id, result.answer)
         now = self._clock()
-        self._feed(
+        self._dispatch(
             Outcome(
                 exchange.id,
                 attempt.number,
@@ -301,16 +309,16 @@
         )
         if self.on_outcome:
             self.on_outcome(attempt.server, result.outcome.status)
-        self._withdraw(exchange)
-        self._forget(exchange)
+        self._forbid_unsent(exchange)
+        self._remove_if_done(exchange)
 
     def probe_ended(self, server: ServerId, latency_us: int, result: Result) -> None:
         self._counters.add(f"probe.{result.outcome.value}")
-        self._feed(Probed(server, result.outcome.status, latency_us, result.report))
+        self._dispatch(Probed(server, result.outcome.status, latency_us, result.report))
 
-    def _feed(self, event: Event, now: int | None = None) -> None:
+    def _dispatch(self, event: Event, now: int | None = None) -> None:
         """Play an event, and those that carrying out its actions brings at once, strictly in turn."""
-        if self._busy:
+        if self._is_dispatching:
             self._events.append(event)
             return
         now = self._clock() if now is None else now
@@ -318,34 +326,34 @@
             # A process that was stopped wakes with requests in hand, before any timer is due.
             self.lease_expires_us = NO_EXPIRY_US
             self.on_lease_expired()
-        self._busy, self._now = True, now
+        self._is_dispatching, self._event_time_us = True, now
         try:
             while True:
                 try:
-                    actions = self._balancer.handle(self._now, event)
+                    actions = self._balancer.handle(self._event_time_us, event)
                 except Exception:
-                    self._fault(event)
+                    self._handle_fault(event)
                     actions = []
                 for action in actions:
                     try:
-                        self._carry_out[type(action)](action)
+                        self._action_handlers[type(action)](action)
                     except Exception:
-                        self._fault(action)
+                        self._handle_fault(action)
                 if not self._events:
                     return
                 event = self._events.popleft()
         finally:
-            self._busy = False
-            if self._leaving:
-                leaving, self._leaving = self._leaving, []
-                for exchange in leaving:
-                    self._forget(exchange)
+            self._is_dispatching = False
+            if self._awaiting_removal:
+                closed_exchanges, self._awaiting_removal = self._awaiting_removal, []
+                for exchange in closed_exchanges:
+                    self._remove_if_done(exchange)
 
-    def _fault(self, what: Event | Action) -> None:
+    def _handle_fault(self, source: Event | Action) -> None:
         """One request's exception must neither end the process nor cost another its answer."""
         self._counters.add("fault.engine")
-        logger.exception("event or action failed", extra=fields(kind=type(what).__name__))
-        exchange = self._open.get(getattr(what, "request", 0))
+        logger.exception("event or action failed", extra=fields(kind=type(source).__name__))
+        exchange = self._open.get(getattr(source, "request", 0))
         if exchange and not exchange.closed:  # once only: telling the module may fail as well
             self._give_up(exchange, "fault")
 
@@ -355,20 +363,20 @@
     def _give_up(self, exchange: Exchange, reason: str) -> None:
         """Answer without the module, and let it know that the request is over."""
         self._answer(exchange.id, Failure(reason) if exchange.attempts else Refusal(self._retry_after_us))
-        self._feed(ClientGone(exchange.id))
-        self._withdraw(exchange)
+        self._dispatch(ClientGone(exchange.id))
+        self._forbid_unsent(exchange)
 
     # Actions out
 
     def _set_timer(self, action: SetTimer) -> None:
-        self._wheel.call_at(action.at_us, self._feed, TimerFired(action.token))
+        self._wheel.call_at(action.at_us, self._dispatch, TimerFired(action.token))
 
     def _send(self, action: Send) -> None:
         assert self.executor
-        exchange, now = self._open.get(action.request), self._now
+        exchange, now = self._open.get(action.request), self._event_time_us
         if exchange is None:
             return  # answered without the module, which hears of it in its next event
-        if not exchange.closed and (exchange.attempts or now > exchange.came_us + JUST_CAME_US):
+        if not exchange.closed and (exchange.attempts or now > exchange.arrived_us + RECENT_READ_US):
             # What made this attempt due may have been handled before the client's close, which has come too.
             exchange.check_client_gone()
         until = (
@@ -383,7 +391,7 @@
             action.server,
             now,
             until,
-            exchange.left_us if exchange.coming else 0,
+            exchange.left_us if exchange.is_uploading else 0,
             action.write_by_us,
         )
         exchange.attempts.append(attempt)
@@ -399,13 +407,13 @@
             self._count_shed(exchange.class_index)
         self._answer(action.request, Refusal(action.retry_after_us))
         if exchange:
-            self._withdraw(exchange)
+            self._forbid_unsent(exchange)
 
     def _fail(self, action: Fail) -> None:
         exchange = self._open.get(action.request)
         self._answer(action.request, Failure("given up"))
         if exchange:
-            self._withdraw(exchange)
+            self._forbid_unsent(exchange)
 
     def _cancel(self, action: Cancel) -> None:
         exchange = self._open.get(action.request)
@@ -429,27 +437,27 @@
         if exchange is None or exchange.closed:
             return
         if isinstance(answer, Response) and answer.body_stream:
-            self._flowing += 1
-            answer.body_stream.on_end = partial(self._flowed, exchange.class_index)
+            self._streaming_count += 1
+            answer.body_stream.on_end = partial(self._body_ended, exchange.class_index)
         else:
             self._count_answer(type(answer), exchange.class_index)
         exchange.answer = answer
-        self._forget(exchange)
+        self._remove_if_done(exchange)
         try:
             exchange.on_answer(exchange, answer)
         except Exception:
             self._counters.add("fault.client")
             logger.exception("answer not passed on", extra=fields(request=request))
 
-    def _flowed(self, class_index: int, whole: bool | None) -> None:
+    def _body_ended(self, class_index: int, is_complete: bool | None) -> None:
         """A flowing answer is over; one that its client has dropped counts as that client's leaving."""
-        self._flowing -= 1
-        if whole is None:
+        self._streaming_count -= 1
+        if is_complete is None:
             self._counters.add("client_gone")
         else:
-            self._count_answer(Response if whole else Failure, class_index)
+            self._count_answer(Response if is_complete else Failure, class_index)
 
-    def _withdraw(self, exchange: Exchange) -> None:
+    def _forbid_unsent(self, exchange: Exchange) -> None:
         """Nothing of a request begins once it is answered or its client has gone, whatever the module says.
 
         What is still dialled, and was not called off by the module, goes on unwritten: whether its connection
@@ -459,21 +467,21 @@
             return
         for attempt in exchange.attempts:
             if attempt.outcome is None:
-                attempt.never_write()
+                attempt.forbid_writing()
 
-    def _forget(self, exchange: Exchange) -> None:
+    def _remove_if_done(self, exchange: Exchange) -> None:
         if exchange.closed:
-            if exchange.guard:
-                exchange.guard.cancel()
-                exchange.guard = None
+            if exchange.deadline_timer:
+                exchange.deadline_timer.cancel()
+                exchange.deadline_timer = None
             for attempt in exchange.attempts:
                 if attempt.outcome is None:
                     return
-            if self._busy:
-                self._leaving.append(exchange)
+            if self._is_dispatching:
+                self._awaiting_removal.append(exchange)
                 return
             self._open.pop(exchange.id, None)
 
 
 _ATTEMPT_COUNTERS = {outcome: f"execution.{outcome.value}" for outcome in AttemptOutcome}
-_ANSWER: dict[type, str] = {Response: "answered", Refusal: "deferred", Failure: "errored"}
+_ANSWER_COUNTERS: dict[type, str] = {Response: "answered", Refusal: "deferred", Failure: "errored"}
--- a/roadlb/exchange.py
+++ b/roadlb/exchange.py
@@ -14,7 +14,7 @@
     from .wheel import Timer
 
 
-NEVER_US = -1  # a time that every clock has passed
+ALWAYS_PAST_US = -1  # a time that every clock has passed
 
 
 class AttemptOutcome(Enum):
@@ -167,9 +167,9 @@
         self.started_us, self.deadline_at_us = started_us, deadline_at_us
         self.outcome: AttemptOutcome | None = None
 
-    def never_write(self) -> None:
+    def forbid_writing(self) -> None:
         """Its request is over: if nothing of it is written yet, nothing will be."""
-        self.left_us, self.write_by_us = 0, NEVER_US
+        self.left_us, self.write_by_us = 0, ALWAYS_PAST_US
 
     def time_left_us(self, now_us: int) -> int:
         """How long its answer will be waited for if it is written now; 0: it may not be written any more."""
@@ -178,7 +178,7 @@
         return self.deadline_at_us - now_us if now_us < self.write_by_us else 0
 
 
-def client_waits() -> bool:
+def client_not_gone() -> bool:
     """In place of a look at the client's connection: it has not left."""
     return False
 
@@ -194,13 +194,13 @@
 
     __slots__ = (
         "answer",
-        "came_us",
+        "arrived_us",
         "check_client_gone",
         "class_index",
-        "coming",
+        "is_uploading",
         "attempts",
-        "gone",
-        "guard",
+        "is_client_gone",
+        "deadline_timer",
         "id",
         "is_retry",
         "key",
@@ -222,24 +222,24 @@
         work_us: int,
         is_retry: bool,
         on_answer: Callable[[Exchange, Answer], None],
-        came_us: int = 0,
-        check_client_gone: Callable[[], bool] = client_waits,
+        arrived_us: int = 0,
+        check_client_gone: Callable[[], bool] = client_not_gone,
     ) -> None:
         self.check_client_gone = check_client_gone
         self.message, self.class_index, self.tenant, self.key = message, class_index, tenant, key
         self.left_us, self.work_us, self.is_retry = left_us, work_us, is_retry
-        self.on_answer, self.came_us = on_answer, came_us
+        self.on_answer, self.arrived_us = on_answer, arrived_us
         self.id = self.deadline_at_us = 0
-        self.coming = message.body_stream is not None
+        self.is_uploading = message.body_stream is not None
         self.attempts: list[Attempt] = []
-        self.guard: Timer | None = None
+        self.deadline_timer: Timer | None = None
         self.answer: Answer | None = None
-        self.gone = False  # the client, before it had an answer
+        self.is_client_gone = False  # the client, before it had an answer
 
     @property
     def closed(self) -> bool:
         """Answered, or its client has gone."""
-        return self.gone or self.answer is not None
+        return self.is_client_gone or self.answer is not None
 
 
 @dataclass(slots=True, init=False)
--- a/roadlb/net/client_connection.py
+++ b/roadlb/net/client_connection.py
@@ -193,7 +193,7 @@
         if upload is not None:
             upload.feed_end(False)
         if body_stream is not None:
-            body_stream.abandon()
+            body_stream.discard()
 
     def check_client_gone(self) -> bool:
         """Has the client closed, be it behind unread bytes?  Then it is treated as any that leaves."""
--- a/roadlb/net/server_connection.py
+++ b/roadlb/net/server_connection.py
@@ -389,7 +389,7 @@
         report = self._pool.reports.read(self._headers.fields.get(LOAD))
         call.ended(Result(AttemptOutcome.SERVED, report, Response(b"", head, body_stream)), "")
         if not body_stream.is_attached:
-            body_stream.abandon()
+            body_stream.discard()
         for piece in held:
             body_stream.feed_data(piece)
 
--- a/roadlb/wheel.py
+++ b/roadlb/wheel.py
@@ -20,29 +20,29 @@
 class _Slot:
     """The calls of one slot, and how many of them are still to be made."""
 
-    __slots__ = ("live", "timers")
+    __slots__ = ("pending_count", "timers")
 
     def __init__(self) -> None:
         self.timers: list[Timer] = []
-        self.live = 0
+        self.pending_count = 0
 
 
 class Timer:
     """A call to come, which may be cancelled."""
 
-    __slots__ = ("_slot", "arg", "call")
+    __slots__ = ("_slot", "arg", "callback")
 
-    def __init__(self, slot: _Slot, call: Callable[[Any], None], arg: Any) -> None:
-        self.call: Callable[[Any], None] | None = call
+    def __init__(self, slot: _Slot, callback: Callable[[Any], None], arg: Any) -> None:
+        self.callback: Callable[[Any], None] | None = callback
         self.arg, self._slot = arg, slot
         slot.timers.append(self)
-        slot.live += 1
+        slot.pending_count += 1
 
     def cancel(self) -> None:
         """Nothing of it is kept but its place; a second time has no effect."""
-        if self.call is not None:
-            self.call = self.arg = None
-            self._slot.live -= 1
+        if self.callback is not None:
+            self.callback = self.arg = None
+            self._slot.pending_count -= 1
 
 
 class TimerWheel:
@@ -52,44 +52,44 @@
         self._clock = clock
         self._loop = asyncio.get_running_loop()
         self._slots: dict[int, _Slot] = {}
-        self._order: list[int] = []  # a heap of the slots
-        self._next: asyncio.TimerHandle | None = None
-        self._next_slot = 0  # the one that `_next` is for
+        self._slot_heap: list[int] = []  # a heap of the slots
+        self._wakeup: asyncio.TimerHandle | None = None
+        self._armed_slot = 0  # the one that `_next` is for
 
-    def call_at(self, when_us: int, call: Callable[[Any], None], arg: Any) -> Timer:
+    def call_at(self, when_us: int, callback: Callable[[Any], None], arg: Any) -> Timer:
         """Call `call(arg)` once the clock has reached `when_us`."""
-        number = -(-when_us // SLOT_US)
-        slot = self._slots.get(number)
+        slot_number = -(-when_us // SLOT_US)
+        slot = self._slots.get(slot_number)
         if slot is None:
-            slot = self._slots[number] = _Slot()
-            heapq.heappush(self._order, number)
-        timer = Timer(slot, call, arg)
-        if self._next is None or number < self._next_slot:
+            slot = self._slots[slot_number] = _Slot()
+            heapq.heappush(self._slot_heap, slot_number)
+        timer = Timer(slot, callback, arg)
+        if self._wakeup is None or slot_number < self._armed_slot:
             self._arm()
         return timer
 
     def _arm(self) -> None:
-        if self._next:
-            self._next.cancel()
-            self._next = None
+        if self._wakeup:
+            self._wakeup.cancel()
+            self._wakeup = None
         # For slots whose calls were all cancelled the loop is not woken: guards rarely come to be called.
-        while self._order and not self._slots[self._order[0]].live:
-            del self._slots[heapq.heappop(self._order)]
-        if self._order:
-            self._next_slot = self._order[0]
-            delay_us = max(0, self._next_slot * SLOT_US - self._clock())
-            self._next = self._loop.call_later(delay_us / 1e6, self._turn)
-
-    def _turn(self) -> None:
-        self._next = None
+        while self._slot_heap and not self._slots[self._slot_heap[0]].pending_count:
+            del self._slots[heapq.heappop(self._slot_heap)]
+        if self._slot_heap:
+            self._armed_slot = self._slot_heap[0]
+            delay_us = max(0, self._armed_slot * SLOT_US - self._clock())
+            self._wakeup = self._loop.call_later(delay_us / 1e6, self._run_due)
+
+    def _run_due(self) -> None:
+        self._wakeup = None
         now = self._clock()
-        while self._order and self._order[0] * SLOT_US <= now:
-            for timer in self._slots.pop(heapq.heappop(self._order)).timers:
-                if timer.call is None:
+        while self._slot_heap and self._slot_heap[0] * SLOT_US <= now:
+            for timer in self._slots.pop(heapq.heappop(self._slot_heap)).timers:
+                if timer.callback is None:
                     continue
-                call, arg, timer.call, timer.arg = timer.call, timer.arg, None, None
+                callback, arg, timer.callback, timer.arg = timer.callback, timer.arg, None, None
                 try:
-                    call(arg)
+                    callback(arg)
                 except Exception:  # one deadline's fault must not cost the others theirs
                     logger.exception("timer failed")
         self._arm()
@@ -97,5 +97,5 @@
     def close(self) -> None:
         """Forget all that is to come."""
         self._slots.clear()
-        self._order.clear()
+        self._slot_heap.clear()
         self._arm()
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -57,11 +57,11 @@
 from roadlb.policy.logic import Balancer
 from roadlb.wheel import TimerWheel
 
-NODE = server_id("s-1")
+SERVER_ID = server_id("s-1")
 ANSWERS: list[tuple[int, Answer]] = []
 
 
-class Recorder:
+class RecordingExecutor:
     """Stands in for the side that reaches the instances."""
 
     def __init__(self) -> None:
@@ -80,7 +80,7 @@
         self.probed.append(server)
 
 
-class Decider:
+class ScriptedPolicy:
     """Stands in for the module: answers each kind of event with what the test has set."""
 
     def __init__(self) -> None:
@@ -92,14 +92,14 @@
         return self.replies.get(type(event), lambda e: [])(event)
 
 
-def engine(decider: object) -> tuple[Engine, Recorder]:
-    made = Engine(decider, Counters(), monotonic_us, TimerWheel(monotonic_us))  # type: ignore[arg-type]
-    recorder = Recorder()
-    made.executor = recorder
-    return made, recorder
+def new_engine(policy: object) -> tuple[Engine, RecordingExecutor]:
+    engine = Engine(policy, Counters(), monotonic_us, TimerWheel(monotonic_us))  # type: ignore[arg-type]
+    executor = RecordingExecutor()
+    engine.executor = executor
+    return engine, executor
 
 
-def exchange(left_us: int = 1_000_000) -> Exchange:
+def new_exchange(left_us: int = 1_000_000) -> Exchange:
     """One that notes its answers in `ANSWERS`."""
     ANSWERS.clear()
     return Exchange(
@@ -110,7 +110,7 @@
         left_us,
         0,
         False,
-        lambda x, answer: ANSWERS.append((x.id, answer)),
+        lambda exchange, answer: ANSWERS.append((exchange.id, answer)),
     )
 
 
@@ -134,28 +134,28 @@
 
 def test_an_exchange_from_arrival_to_answer() -> None:
     async def main() -> None:
-        made, recorder = engine(Balancer(read_settings(Pairs.from_json(SETTINGS)), 1))
-        made.list_update(ListKind.CACHED, [Member(NODE)])
-        x = exchange()
-        made.open(x)
-        (attempt,) = recorder.started
-        assert attempt.server == NODE and attempt.deadline_at_us <= x.deadline_at_us
-        made.attempt_ended(attempt, Result(AttemptOutcome.SERVED, (), Response(b"body")))
-        assert x.answer == Response(b"body") and not made._open
+        engine, executor = new_engine(Balancer(read_settings(Pairs.from_json(SETTINGS)), 1))
+        engine.list_update(ListKind.CACHED, [Member(SERVER_ID)])
+        exchange = new_exchange()
+        engine.open(exchange)
+        (attempt,) = executor.started
+        assert attempt.server == SERVER_ID and attempt.deadline_at_us <= exchange.deadline_at_us
+        engine.attempt_ended(attempt, Result(AttemptOutcome.SERVED, (), Response(b"body")))
+        assert exchange.answer == Response(b"body") and not engine._open
 
     run(main)
 
 
 def test_an_exception_costs_only_its_own_request() -> None:
     async def main() -> None:
-        decider = Decider()
-        made, recorder = engine(decider)
-        decider.replies[Arrival] = lambda e: [Send(e.request, NODE, 0)] if e.request != 1 else [][1]  # type: ignore[union-attr, list-item]
-        broken, sound = exchange(), exchange()
-        made.open(broken)
-        made.open(sound)
+        policy = ScriptedPolicy()
+        engine, executor = new_engine(policy)
+        policy.replies[Arrival] = lambda e: [Send(e.request, SERVER_ID, 0)] if e.request != 1 else [][1]  # type: ignore[union-attr, list-item]
+        broken, sound = new_exchange(), new_exchange()
+        engine.open(broken)
+        engine.open(sound)
         assert isinstance(broken.answer, Refusal) and not sound.closed
-        made.attempt_ended(recorder.started[0], Result(AttemptOutcome.SERVED, (), Response(b"")))
+        engine.attempt_ended(executor.started[0], Result(AttemptOutcome.SERVED, (), Response(b"")))
         assert sound.answer == Response(b"")
 
     run(main)
@@ -164,70 +164,70 @@
 def test_a_module_that_fails_on_everything_ends_neither_the_process_nor_an_answer() -> None:
     # Telling it that the request is over fails as well, and must not be told again for ever.
     async def main() -> None:
-        decider = Decider()
-        made, recorder = engine(decider)
-        decider.replies[Arrival] = lambda e: [Send(1, NODE, 0)]
-        x = exchange()
-        made.open(x)
-        decider.replies[Outcome] = decider.replies[ClientGone] = lambda e: [][1]
-        made._give_up(x, "test")
-        made.attempt_ended(recorder.started[0], Result(AttemptOutcome.RESET))
-        assert x.answer == Failure("test") and not made._open
-        assert made._counters["fault.engine"] == 2
+        policy = ScriptedPolicy()
+        engine, executor = new_engine(policy)
+        policy.replies[Arrival] = lambda e: [Send(1, SERVER_ID, 0)]
+        exchange = new_exchange()
+        engine.open(exchange)
+        policy.replies[Outcome] = policy.replies[ClientGone] = lambda e: [][1]
+        engine._give_up(exchange, "test")
+        engine.attempt_ended(executor.started[0], Result(AttemptOutcome.RESET))
+        assert exchange.answer == Failure("test") and not engine._open
+        assert engine._counters["fault.engine"] == 2
 
     run(main)
 
 
 def test_a_hang_up_in_the_moment_of_the_answer_is_no_client_gone() -> None:
     async def main() -> None:
-        decider = Decider()
-        made, _ = engine(decider)
-        decider.replies[Arrival] = lambda e: [Send(e.request, NODE, 0)] * (e.request == 1)  # type: ignore[union-attr]
-        answered, gone = exchange(), exchange()
-        made.open(answered)
-        made.open(gone)
-        made._answer(1, Refusal(5))
-        for x in (answered, gone):
-            made.client_gone(x)
-        assert answered.answer == Refusal(5) and made._counters["client_gone"] == 1
-        assert decider.events[-1] == ClientGone(gone.id)
+        policy = ScriptedPolicy()
+        engine, _ = new_engine(policy)
+        policy.replies[Arrival] = lambda e: [Send(e.request, SERVER_ID, 0)] * (e.request == 1)  # type: ignore[union-attr]
+        answered, gone = new_exchange(), new_exchange()
+        engine.open(answered)
+        engine.open(gone)
+        engine._answer(1, Refusal(5))
+        for exchange in (answered, gone):
+            engine.client_gone(exchange)
+        assert answered.answer == Refusal(5) and engine._counters["client_gone"] == 1
+        assert policy.events[-1] == ClientGone(gone.id)
 
     run(main)
 
 
 def test_what_the_module_forgets_is_answered_all_the_same() -> None:
     async def main() -> None:
-        decider = Decider()
-        made, _ = engine(decider)
-        x, answered = exchange(left_us=1), asyncio.Event()
-        x.on_answer = lambda x, answer: answered.set()
-        made.open(x)
+        policy = ScriptedPolicy()
+        engine, _ = new_engine(policy)
+        exchange, answered = new_exchange(left_us=1), asyncio.Event()
+        exchange.on_answer = lambda exchange, answer: answered.set()
+        engine.open(exchange)
         await asyncio.wait_for(answered.wait(), 10)
-        assert isinstance(x.answer, Refusal)  # nothing of it ran
-        assert decider.events[-1] == ClientGone(x.id) and not made._open
+        assert isinstance(exchange.answer, Refusal)  # nothing of it ran
+        assert policy.events[-1] == ClientGone(exchange.id) and not engine._open
 
     run(main)
 
 
 def test_an_answer_is_final_and_later_sends_are_moot() -> None:
     async def main() -> None:
-        decider = Decider()
-        made, recorder = engine(decider)
-        decider.replies[Arrival] = lambda e: [
-            Send(1, NODE, 0),
+        policy = ScriptedPolicy()
+        engine, executor = new_engine(policy)
+        policy.replies[Arrival] = lambda e: [
+            Send(1, SERVER_ID, 0),
             Refuse(1, 5),
             Fail(1),
-            Send(1, NODE, 0),
+            Send(1, SERVER_ID, 0),
             Cancel(1, 0),
             Cancel(1, 1),
         ]
-        x = exchange()
-        made.open(x)
-        assert x.answer == Refusal(5)
-        assert len(recorder.started) == 1 and recorder.cancelled == recorder.started
-        assert decider.events[-1] == Outcome(1, 1, NODE, Status.MOOT, decider.events[-1].latency_us, True)  # type: ignore[union-attr]
-        made.attempt_ended(x.attempts[0], Result(AttemptOutcome.CANCELLED))
-        assert not made._open
+        exchange = new_exchange()
+        engine.open(exchange)
+        assert exchange.answer == Refusal(5)
+        assert len(executor.started) == 1 and executor.cancelled == executor.started
+        assert policy.events[-1] == Outcome(1, 1, SERVER_ID, Status.MOOT, policy.events[-1].latency_us, True)  # type: ignore[union-attr]
+        engine.attempt_ended(exchange.attempts[0], Result(AttemptOutcome.CANCELLED))
+        assert not engine._open
 
     run(main)
 
@@ -236,19 +236,19 @@
     # Carrying out an earlier action of the same turn has the client found gone; the module, which counts the
     # attempt as open at its server, hears of that only later, and must hear how the attempt ended too.
     async def main() -> None:
-        decider = Decider()
-        made, recorder = engine(decider)
-        first, second = exchange(), exchange()
-        first.on_answer = lambda x, answer: made.client_gone(second)
-        made.open(first)
-        made.open(second)
-        decider.replies[ListUpdate] = lambda e: [Refuse(first.id, 5), Send(second.id, NODE, 0)]
-        made.list_update(ListKind.FULL, [])
-        assert recorder.started == [] and second.answer is None
+        policy = ScriptedPolicy()
+        engine, executor = new_engine(policy)
+        first, second = new_exchange(), new_exchange()
+        first.on_answer = lambda exchange, answer: engine.client_gone(second)
+        engine.open(first)
+        engine.open(second)
+        policy.replies[ListUpdate] = lambda e: [Refuse(first.id, 5), Send(second.id, SERVER_ID, 0)]
+        engine.list_update(ListKind.FULL, [])
+        assert executor.started == [] and second.answer is None
         assert [e.outcome for e in second.attempts] == [AttemptOutcome.NEVER_STARTED]
-        (ended,) = [e for e in decider.events if isinstance(e, Outcome)]
+        (ended,) = [e for e in policy.events if isinstance(e, Outcome)]
         assert (ended.request, ended.attempt, ended.closed) == (second.id, 0, True)
-        assert made.requests_in_flight == 0 and not made._open
+        assert engine.requests_in_flight == 0 and not engine._open
 
     run(main)
 
@@ -256,15 +256,15 @@
 def test_over_the_most_open_a_request_is_nacked_before_the_module() -> None:
     # With no descriptor left every dial and every accept would fail.
     async def main() -> None:
-        decider = Decider()
-        made, _ = engine(decider)
-        made._max_open = 1
-        one, two = exchange(), exchange()
-        made.open(one)
-        made.open(two)
+        policy = ScriptedPolicy()
+        engine, _ = new_engine(policy)
+        engine._max_open = 1
+        one, two = new_exchange(), new_exchange()
+        engine.open(one)
+        engine.open(two)
         assert isinstance(two.answer, Refusal) and not one.closed
-        assert len(decider.events) == 1
-        made.give_up_all()
+        assert len(policy.events) == 1
+        engine.give_up_all()
         assert isinstance(one.answer, Refusal)
 
     run(main)
@@ -272,15 +272,15 @@
 
 def test_without_room_a_refusal_tells_only_what_the_settings_allow() -> None:
     async def main() -> None:
-        made = Engine(
-            Decider(),  # type: ignore[arg-type]
+        engine = Engine(
+            ScriptedPolicy(),  # type: ignore[arg-type]
             Counters(),
             monotonic_us,
             TimerWheel(monotonic_us),
             max_open=0,
             retry_after_us=0,
         )
-        made.open(exchange())
+        engine.open(new_exchange())
         (answer,) = [answer for _, answer in ANSWERS]
         assert isinstance(answer, Refusal) and answer.retry_after_us == 0
 
@@ -289,15 +289,15 @@
 
 def test_timers_and_probes() -> None:
     async def main() -> None:
-        decider, fired = Decider(), asyncio.Event()
-        made, recorder = engine(decider)
-        decider.replies[ListUpdate] = lambda e: [SetTimer(monotonic_us() + 1_000, 77), Probe(NODE)]
-        decider.replies[TimerFired] = lambda e: fired.set() or []
-        made.list_update(ListKind.FULL, [])
+        policy, fired = ScriptedPolicy(), asyncio.Event()
+        engine, executor = new_engine(policy)
+        policy.replies[ListUpdate] = lambda e: [SetTimer(monotonic_us() + 1_000, 77), Probe(SERVER_ID)]
+        policy.replies[TimerFired] = lambda e: fired.set() or []
+        engine.list_update(ListKind.FULL, [])
         await asyncio.wait_for(fired.wait(), 10)
-        made.probe_ended(NODE, 9, Result(AttemptOutcome.SERVED, (1.0,)))
-        assert recorder.probed == [NODE]
-        assert decider.events[1:] == [TimerFired(77), Probed(NODE, Status.OK, 9, (1.0,))]
+        engine.probe_ended(SERVER_ID, 9, Result(AttemptOutcome.SERVED, (1.0,)))
+        assert executor.probed == [SERVER_ID]
+        assert policy.events[1:] == [TimerFired(77), Probed(SERVER_ID, Status.OK, 9, (1.0,))]
 
     run(main)
 
@@ -334,7 +334,7 @@
         loop, logged = asyncio.get_running_loop(), asyncio.Event()
         old = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
         port = old.sockets[0].getsockname()[1]
-        made = App(
+        app = App(
             read_config(
                 {
                     "name": "n",
@@ -348,18 +348,18 @@
         handler = logging.Handler()
         handler.emit = lambda record: logged.set() if "in use" in record.msg else None  # type: ignore[method-assign]
         logging.getLogger("roadlb.net.sockets").addHandler(handler)
-        starting = loop.create_task(made.start())
+        starting = loop.create_task(app.start())
         await asyncio.wait_for(logged.wait(), 10)
         old.close()
         await asyncio.wait_for(starting, 10)
-        assert made.port == port
-        await made.stop(linger_s=0)
+        assert app.port == port
+        await app.stop(linger_s=0)
         logging.getLogger("roadlb.net.sockets").removeHandler(handler)
 
     run(main)
 
 
-def table() -> ServerDiscovery:
+def new_discovery() -> ServerDiscovery:
     return ServerDiscovery(
         None,
         ("a", "b"),
@@ -385,22 +385,22 @@
 
 
 def test_a_list_line_is_read() -> None:
-    line = table().parse(
+    update = new_discovery().parse(
         {"generation": 4, "reset": False, "instances": [ENTRY, {"instanceId": "s-2", "lifecycle": "removed"}]}
     )
-    assert line.members == [
-        Member(NODE, ServerState.READY, 3, 1, 1, 1.5, 0),
+    assert update.members == [
+        Member(SERVER_ID, ServerState.READY, 3, 1, 1, 1.5, 0),
         Member(server_id("s-2"), ServerState.GONE),
     ]
-    assert (line.generation, line.kind) == (4, ListKind.DELTA)
+    assert (update.generation, update.kind) == (4, ListKind.DELTA)
 
 
 def test_a_start_is_told_in_clock_time_and_always_the_same() -> None:
     # A start that moved by a microsecond would look like a restart of the process.
-    t, entry = table(), {**ENTRY, "startedAtMs": 1_700_000_000_000}
+    discovery, entry = new_discovery(), {**ENTRY, "startedAtMs": 1_700_000_000_000}
     raw = {"generation": 1, "reset": True, "instances": [entry]}
-    assert t.parse(raw) == t.parse(raw)
-    assert t.parse(raw).members[0].born_us == 1_700_000_000_000_000 + t._unix_to_clock
+    assert discovery.parse(raw) == discovery.parse(raw)
+    assert discovery.parse(raw).members[0].born_us == 1_700_000_000_000_000 + discovery._unix_to_clock
 
 
 def test_ids_come_from_the_name_whatever_the_address() -> None:
@@ -408,7 +408,7 @@
         {"generation": 1, "reset": True, "instances": [{**ENTRY, "hostPort": at}]}
         for at in ("10.1.0.18:8080", "127.0.0.9:1")
     ]
-    assert table().parse(raw[0]).members == table().parse(raw[1]).members
+    assert new_discovery().parse(raw[0]).members == new_discovery().parse(raw[1]).members
     # Known values: another process, or another version, must come to the same.
     assert (server_id("s-1").hex(), key_number(b"k"), key_number(b"")) == (
         "03231059c9d4de0d",
@@ -434,7 +434,7 @@
 )
 def test_a_malformed_entry_spoils_its_line(change: dict[str, object]) -> None:
     with pytest.raises(MalformedList):
-        table().parse({"generation": 1, "reset": True, "instances": [{**ENTRY, **change}]})
+        new_discovery().parse({"generation": 1, "reset": True, "instances": [{**ENTRY, **change}]})
 
 
 @pytest.mark.parametrize(
@@ -451,7 +451,7 @@
 )
 def test_a_malformed_line(raw: object) -> None:
     with pytest.raises(MalformedList):
-        table().parse(raw)
+        new_discovery().parse(raw)
 
 
 def test_load_reports_under_either_name_and_none_if_not_whole() -> None:
