--- a/roadlb/body_stream.py
+++ b/roadlb/body_stream.py
@@ -1,10 +1,10 @@
-"""A body on its way from the side that reads it to the side that writes it, in pieces, with backpressure.
+"""Streams a message body from the connection that reads it to the one that writes it, with backpressure.
 
-    source ──piece, end──> Flow ──> sink
-           <──want, drop── Flow <──
+    source ──────feed_data, feed_end──────> BodyStream ────body_data, body_end───> sink
+           <─set_body_reading, body_abandoned─         <────set_reading, discard────
 
-Nothing is queued here.  The source passes on what it reads, and reads only while the sink wants more.  A sink
-whose transport is full says so, and what it holds is one read of the source at the most.
+The stream queues nothing.  The source passes on what it reads, and reads only while the sink accepts data.  A
+sink whose transport is full stops the reading, and then holds at most one read of the source.
 """
 
 from __future__ import annotations
@@ -14,30 +14,36 @@
 
 
 class Source(Protocol):
+    """The connection that reads the body."""
+
     def set_body_reading(self, on: bool) -> None:
-        """Read on, or stop reading."""
+        """Resume or pause reading."""
 
     def body_abandoned(self) -> None:
-        """Nobody wants the rest."""
+        """The rest of the body is not needed."""
 
 
 class Sink(Protocol):
+    """The connection that writes the body."""
+
     def body_data(self, data: bytes) -> None:
-        """Write it; it may make the sink say that it wants no more for now."""
+        """Write a part of the body; the sink may pause the reading meanwhile."""
 
     def body_end(self, is_complete: bool) -> None:
-        """There is no more: all of it has come, or the source broke."""
+        """The body has ended: complete, or because the source failed."""
 
 
 def ignore_end(is_complete: bool | None) -> None:
-    """In place of who counts how flows end."""
+    """Default for `BodyStream.on_end`."""
 
 
 class BodyStream:
-    """`size` in bytes as told by the source; -1: it is told by its end.
+    """A body that is being streamed from a source to a sink.
 
-    `passed`: something has gone to a sink, so that another sink could not have it all.  `on_end` hears once
-    how it ended: True, all of it was written out; False, it broke; None, it was dropped.
+    `size` is its length in bytes as announced by the source; -1: not known before its end.
+    `has_delivered`: a sink has received data, so another sink could not get the whole body.
+    `on_end` is called once when the body has ended, with True if all of it was written, False if it broke off
+    and None if it was discarded.
     """
 
     __slots__ = ("_sink", "_source", "on_end", "has_delivered", "size")
@@ -50,7 +56,7 @@
 
     @property
     def is_attachable(self) -> bool:
-        """May a sink be attached?"""
+        """Whether a sink may be attached."""
         return self._sink is None and not self.has_delivered and self._source is not None
 
     @property
@@ -63,7 +69,7 @@
         self._sink = sink
 
     def detach(self) -> None:
-        """The sink is no more; while nothing has passed there may be another."""
+        """Remove the sink; as long as no data was delivered another one may be attached."""
         if self._sink is not None:
             self._sink = None
             if self._source is not None:
@@ -74,14 +80,14 @@
             self._source.set_body_reading(on)
 
     def discard(self) -> None:
-        """The sink is no more, and there will be no other."""
+        """Remove the sink for good and discard the rest of the body."""
         source, self._source, self._sink = self._source, None, None
         if source is not None:
             source.body_abandoned()
         self.report_end(None)
 
     def report_end(self, is_complete: bool | None) -> None:
-        """The sink has written out what it will: all of it or not; None: nobody wanted it."""
+        """Report once that the sink has written all of the body or not; None: it was discarded."""
         notify, self.on_end = self.on_end, ignore_end
         notify(is_complete)
 
--- a/roadlb/engine.py
+++ b/roadlb/engine.py
@@ -1,7 +1,7 @@
-"""Drives one `Balancer`: the clock, timers, events in, actions out, open exchanges.  Knows no HTTP.
+"""Runs the policy of one balancer: clock, timers, events in, actions out, open exchanges.  Knows no HTTP.
 
-Any protocol can feed it: one that takes requests opens exchanges, one that reaches instances is its
-`Executor`, and one that knows the fleet calls `list_update`.
+The code that receives requests opens exchanges, the code that connects to servers is the `Executor`, and
+server discovery calls `list_update`.
 """
 
 from __future__ import annotations
@@ -53,39 +53,40 @@
 
 logger = logging.getLogger(__name__)
 
-DEFAULT_RETRY_AFTER_US = 200_000  # when to come back to a program that has no room, where clients may be told
+# The retry advice in the engine's own refusals, where the settings allow one.
+DEFAULT_RETRY_AFTER_US = 200_000
 UPLOAD_TIMEOUT_US = 600_000_000  # 32 MB at 64 kB a second take 500 s
 NO_EXPIRY_US = 1 << 62
-RECENT_READ_US = 5_000  # a request read so lately has a client that waits
-DEADLINE_GRACE_US = 10_000  # past its deadline an exchange is answered whatever the module says
+RECENT_READ_US = 5_000  # the client of a request read within this time is taken to be still connected
+DEADLINE_GRACE_US = 10_000  # after its deadline; then the engine answers an exchange without the policy
 
 
 class Policy(Protocol):
-    """The decision module, or what stands in for it."""
+    """The decision module `roadlb.policy`, or a test's replacement for it."""
 
     def handle(self, now: int, event: Event) -> list[Action]: ...
 
 
 class Executor(Protocol):
-    """The side that reaches the instances."""
+    """Sends attempts and probes to servers."""
 
     def start(self, attempt: Attempt) -> None: ...
 
     def cancel(self, attempt: Attempt, unsent: bool = False) -> None:
-        """`unsent`: only if nothing of it can have been sent, which its outcome then tells."""
+        """Cancel an attempt; with `unsent` only if nothing was sent, as its outcome then says."""
 
     def extend(self, attempt: Attempt) -> None:
-        """Its `until_us` has changed."""
+        """Apply the new `deadline_at_us` of an attempt."""
 
     def probe(self, server: ServerId) -> None: ...
 
 
 class Engine:
-    """Feeds a balancer one event at a time and carries out what it decides."""
+    """Passes events to the policy one at a time and carries out the actions that it returns."""
 
     def __init__(
         self,
-        balancer: Policy,
+        policy: Policy,
         counters: Counters,
         clock: Clock,
         wheel: TimerWheel,
@@ -93,23 +94,26 @@
         class_names: Sequence[str] = (),
         retry_after_us: int = DEFAULT_RETRY_AFTER_US,
     ) -> None:
-        """`max_open`: exchanges at once; `class_names`: for the counters of what is refused unsent;
-        `retry_after_us`: the advice that goes with a refusal which the module did not make; 0: none."""
-        self._balancer, self._counters, self._max_open = balancer, counters, max_open
+        """Create an engine without open exchanges.
+
+        `max_open` limits the exchanges open at once.  `class_names` are used in the names of the counters
+        of answers and shed requests.  `retry_after_us` is the retry advice in refusals that the policy did
+        not decide; 0: none.
+        """
+        self._policy, self._counters, self._max_open = policy, counters, max_open
         self._clock, self._wheel = clock, wheel
         self._retry_after_us = retry_after_us
         self._events: deque[Event] = deque()
-        self._is_dispatching, self._event_time_us = False, 0  # carrying out an event, and when it began
+        # Whether an event is being processed, and the time at which that began.
+        self._is_dispatching, self._event_time_us = False, 0
         self._next_id = 1
-        self._open: dict[int, Exchange] = {}  # with an answer owed, or an attempt still out
-        self._awaiting_removal: list[
-            Exchange
-        ] = []  # closed in this turn, whose actions may still concern them
-        self._is_process_overloaded = False  # of this program's own means, as the module was told
-        self._streaming_count = 0  # answers that are on their way to clients
-        self._arrived_count = self._refused_count = (
-            0  # requests that came, and those refused before any attempt
-        )
+        self._open: dict[int, Exchange] = {}  # not answered, or with a running attempt
+        # Closed while an event is processed; its remaining actions may still refer to them.
+        self._awaiting_removal: list[Exchange] = []
+        self._is_process_overloaded = False  # as last reported to the policy
+        self._streaming_count = 0  # responses whose bodies are being streamed to clients
+        # Requests received, and those of them that were refused before any attempt.
+        self._arrived_count = self._refused_count = 0
         self._answer_counters = {
             (kind, i): f"{_ANSWER_COUNTERS[kind]}.{name}"
             for kind in _ANSWER_COUNTERS
@@ -121,8 +125,8 @@
             for is_overloaded in (False, True)
         }
         self.executor: Executor | None = None
-        self.on_outcome: Callable[[ServerId, Status], None] | None = None  # told of each attempt's end
-        self.lease_expires_us = NO_EXPIRY_US  # what was granted for a time ends then: `lapsed` is called
+        self.on_outcome: Callable[[ServerId, Status], None] | None = None  # called when an attempt ends
+        self.lease_expires_us = NO_EXPIRY_US  # from then on `on_lease_expired` is called first
         self.on_lease_expired: Callable[[], None] = lambda: None
         self._action_handlers: dict[type, Callable[[Any], None]] = {
             Send: self._send,
@@ -138,9 +142,9 @@
     # Events in
 
     def open(self, exchange: Exchange) -> None:
-        """Take a client's request: from now on it is owed one final answer."""
+        """Accept a client's request, which from now on gets exactly one final answer."""
         if len(self._open) >= self._max_open:
-            # Out of sockets every request would fail; nothing of this one has run, so it may come again.
+            # Without free sockets every request would fail.  None of this one has run, so a retry is safe.
             self._counters.add("full")
             exchange.answer = Refusal(self._retry_after_us)
             self._count_answer(Refusal, exchange.class_index)
@@ -170,7 +174,7 @@
         self._arm_deadline_timer(exchange)
 
     def _arm_deadline_timer(self, exchange: Exchange) -> None:
-        """Whatever becomes of the module, the client gets its answer in time."""
+        """Set the timer that answers the client soon after the deadline even if the policy does not."""
         if exchange.deadline_timer:
             exchange.deadline_timer.cancel()
         if exchange.answer is None:
@@ -179,7 +183,7 @@
             )
 
     def body_complete(self, exchange: Exchange) -> None:
-        """The last byte of its body has come: its time begins."""
+        """Start the time limit of an exchange whose request body has been received completely."""
         if exchange.closed or not exchange.is_uploading:
             return
         exchange.is_uploading, now = False, self._clock()
@@ -194,6 +198,7 @@
         self._arm_deadline_timer(exchange)
 
     def client_gone(self, exchange: Exchange) -> None:
+        """End an exchange whose client has closed its connection before the answer."""
         if exchange.id in self._open and not exchange.closed:
             exchange.is_client_gone = True
             self._counters.add("client_gone")
@@ -202,7 +207,7 @@
             self._remove_if_done(exchange)
 
     def give_up_all(self, arrived_after_us: int = 0) -> None:
-        """Give all that is still open, and came after this time, its answer now."""
+        """Answer all open exchanges that arrived after this time or whose request bodies are incomplete."""
         for exchange in list(self._open.values()):
             if not exchange.closed and (
                 exchange.is_uploading or exchange.deadline_at_us - exchange.left_us > arrived_after_us
@@ -211,27 +216,30 @@
 
     @property
     def requests_in_flight(self) -> int:
-        """Requests taken and not ended."""
+        """The number of requests that were accepted and have not ended."""
         return self._streaming_count + sum(not exchange.closed for exchange in self._open.values())
 
     def view(self) -> View:
-        """What the module believes of each server now."""
-        for action in self._balancer.handle(self._clock(), Report()):
+        """Return the policy's current view of the servers."""
+        for action in self._policy.handle(self._clock(), Report()):
             if isinstance(action, View):
                 return action
         return View([])
 
     @property
     def is_process_overloaded(self) -> bool:
-        """Is part of the demand to be refused for want of the program's own means?"""
+        """Whether part of the demand is refused because this process lacks CPU, memory or descriptors."""
         return self._is_process_overloaded
 
     def check_admission(
         self, class_index: int, tenant: int, key: int, left_us: int, work_us: int
     ) -> Refusal | None:
-        """Would the module refuse this request, whose body has not come?  Then it need not be opened."""
+        """Return the refusal if the policy refuses this request, whose body has not been received.
+
+        A refused request need not be opened.
+        """
         try:
-            actions = self._balancer.handle(self._clock(), Offer(class_index, tenant, key, left_us, work_us))
+            actions = self._policy.handle(self._clock(), Offer(class_index, tenant, key, left_us, work_us))
         except Exception:
             self._counters.add("fault.engine")
             logger.exception("offer failed")
@@ -246,34 +254,36 @@
         return None
 
     def set_shed_share(self, share: float) -> None:
-        """At least this share of the demand is to be refused for want of the program's own means."""
+        """Set the least share (0..1) of the demand to be refused because this process lacks resources."""
         self._is_process_overloaded = share > 0
         self._dispatch(Shortage(share))
 
     def set_max_open(self, max_open: int) -> None:
-        """So many exchanges may be open at once from now on."""
+        """Limit how many exchanges may be open at once."""
         self._max_open = max_open
 
     def set_process_count(self, count: int) -> None:
-        """So many processes are this one instance now."""
+        """Tell the policy how many processes now run as this one balancer."""
         self._dispatch(Twins(count))
 
     def update_shared_state(self, event: Heard) -> None:
-        """What balancers share, as far as this one knows by now."""
+        """Pass on the latest state that this balancer has received from the others."""
         self._dispatch(event)
 
     def change_settings(self, settings: Settings) -> None:
-        """These hold from now on, for what is open as `policy.interface.Changed` has it."""
+        """Apply new settings; to open requests as `policy.interface.SettingsChanged` describes."""
         self._dispatch(Changed(settings))
 
     def override_site(self, site: int, out: bool) -> SiteView | None:
-        """An operator's word on a hall, by its number, and how it stands then; None: there is no such
-        hall."""
+        """Apply an operator's command to take a site out of service or put it back.
+
+        Returns the site's state afterwards; None if no such site exists.
+        """
         self._dispatch(SiteWord(site, out))
         return next((view for view in self.view().sites if view.site == site), None)
 
     def request_counts(self) -> tuple[int, int]:
-        """Requests that have come so far, and how many of them were refused with nothing sent for them."""
+        """Return how many requests have arrived, and how many of them were refused with nothing sent."""
         return self._arrived_count, self._refused_count
 
     def _count_answer(self, kind: type, class_index: int) -> None:
@@ -289,7 +299,7 @@
         self._dispatch(ListUpdate(kind, members))
 
     def attempt_ended(self, attempt: Attempt, result: Result) -> None:
-        """The executor reports each attempt's end exactly once."""
+        """Process the end of an attempt, which the executor reports exactly once."""
         exchange, attempt.outcome = self._open[attempt.request], result.outcome
         self._counters.add(_ATTEMPT_COUNTERS[result.outcome])
         if result.answer is not None:
@@ -317,20 +327,20 @@
         self._dispatch(Probed(server, result.outcome.status, latency_us, result.report))
 
     def _dispatch(self, event: Event, now: int | None = None) -> None:
-        """Play an event, and those that carrying out its actions brings at once, strictly in turn."""
+        """Process an event, then in order the events that its actions caused meanwhile."""
         if self._is_dispatching:
             self._events.append(event)
             return
         now = self._clock() if now is None else now
         if now >= self.lease_expires_us:
-            # A process that was stopped wakes with requests in hand, before any timer is due.
+            # A process that was suspended may resume with a request to process before any timer fires.
             self.lease_expires_us = NO_EXPIRY_US
             self.on_lease_expired()
         self._is_dispatching, self._event_time_us = True, now
         try:
             while True:
                 try:
-                    actions = self._balancer.handle(self._event_time_us, event)
+                    actions = self._policy.handle(self._event_time_us, event)
                 except Exception:
                     self._handle_fault(event)
                     actions = []
@@ -350,18 +360,18 @@
                     self._remove_if_done(exchange)
 
     def _handle_fault(self, source: Event | Action) -> None:
-        """One request's exception must neither end the process nor cost another its answer."""
+        """Answer the request of a failed event or action; the process and other requests go on."""
         self._counters.add("fault.engine")
         logger.exception("event or action failed", extra=fields(kind=type(source).__name__))
         exchange = self._open.get(getattr(source, "request", 0))
-        if exchange and not exchange.closed:  # once only: telling the module may fail as well
+        if exchange and not exchange.closed:  # once only: notifying the policy may fail as well
             self._give_up(exchange, "fault")
 
     def _overdue(self, exchange: Exchange) -> None:
         self._give_up(exchange, "overdue")
 
     def _give_up(self, exchange: Exchange, reason: str) -> None:
-        """Answer without the module, and let it know that the request is over."""
+        """Answer without the policy, and notify it that the request has ended."""
         self._answer(exchange.id, Failure(reason) if exchange.attempts else Refusal(self._retry_after_us))
         self._dispatch(ClientGone(exchange.id))
         self._forbid_unsent(exchange)
@@ -375,9 +385,10 @@
         assert self.executor
         exchange, now = self._open.get(action.request), self._event_time_us
         if exchange is None:
-            return  # answered without the module, which hears of it in its next event
+            return  # answered without the policy, whose next event says so
         if not exchange.closed and (exchange.attempts or now > exchange.arrived_us + RECENT_READ_US):
-            # What made this attempt due may have been handled before the client's close, which has come too.
+            # The event that caused this attempt may have been processed before a close by the client that
+            # has arrived as well.
             exchange.check_client_gone()
         until = (
             min(exchange.deadline_at_us, now + action.timeout_us)
@@ -432,7 +443,7 @@
         logger.info("module", extra=fields(text=action.text))
 
     def _answer(self, request: int, answer: Answer) -> None:
-        """Give the final answer, unless there has been one or the client has gone."""
+        """Pass the final answer to the client, unless it has one or has gone."""
         exchange = self._open.get(request)
         if exchange is None or exchange.closed:
             return
@@ -450,7 +461,7 @@
             logger.exception("answer not passed on", extra=fields(request=request))
 
     def _body_ended(self, class_index: int, is_complete: bool | None) -> None:
-        """A flowing answer is over; one that its client has dropped counts as that client's leaving."""
+        """Count a response whose body has ended; None: its client has gone."""
         self._streaming_count -= 1
         if is_complete is None:
             self._counters.add("client_gone")
@@ -458,10 +469,10 @@
             self._count_answer(Response if is_complete else Failure, class_index)
 
     def _forbid_unsent(self, exchange: Exchange) -> None:
-        """Nothing of a request begins once it is answered or its client has gone, whatever the module says.
+        """Forbid writing the attempts of a request that is answered or whose client has gone.
 
-        What is still dialled, and was not called off by the module, goes on unwritten: whether its connection
-        comes up tells how the server stands, or that a whole zone is silent.
+        Attempts that are still connecting, and that the policy has not cancelled, go on connecting: the
+        outcome shows whether the server, or a whole zone, is reachable.
         """
         if not exchange.closed:
             return
@@ -470,6 +481,7 @@
                 attempt.forbid_writing()
 
     def _remove_if_done(self, exchange: Exchange) -> None:
+        """Remove an exchange that is closed and has no running attempt."""
         if exchange.closed:
             if exchange.deadline_timer:
                 exchange.deadline_timer.cancel()
--- a/roadlb/exchange.py
+++ b/roadlb/exchange.py
@@ -1,4 +1,4 @@
-"""Where the client side and the server side meet: an exchange, its attempts, and how each of those ended."""
+"""The data shared by the client side and the server side: exchanges, their attempts and the outcomes."""
 
 from __future__ import annotations
 
@@ -14,34 +14,35 @@
     from .wheel import Timer
 
 
-ALWAYS_PAST_US = -1  # a time that every clock has passed
+ALWAYS_PAST_US = -1  # earlier than any time of a clock
 
 
 class AttemptOutcome(Enum):
-    """Every way in which an attempt's connection can end."""
+    """How an attempt ended."""
 
-    SERVED = "served"  # a whole 200
-    INSTANCE_ERROR = "instance_error"  # any other whole answer that does not prove that nothing ran
-    TURNED_AWAY = "turned_away"  # 503 or 504 with the mark that it never ran
-    DIAL_FAILED = "dial_failed"  # refused or unreachable
+    SERVED = "served"  # a complete response with status 200
+    INSTANCE_ERROR = "instance_error"  # any other complete response that does not prove that nothing ran
+    TURNED_AWAY = "turned_away"  # 503 or 504 with the header that says that it never ran
+    DIAL_FAILED = "dial_failed"  # connection refused, or the server unreachable
     DIAL_TIMED_OUT = "dial_timed_out"
-    BROKE_UNSENT = "broke_unsent"  # before the request's last byte was written
-    UNFINISHED = "unfinished"  # its client left the body unfinished, which says nothing of the server
-    RESET = "reset"  # after it, with no answer begun
-    CUT_SHORT = "cut_short"  # within an answer
-    GARBLED = "garbled"  # an answer came that cannot be used
-    TIMED_OUT = "timed_out"  # no answer in the time that it was given
-    CANCELLED = "cancelled"  # called off by the balancer
-    NO_SOCKET = "no_socket"  # nothing was dialled, for want of a descriptor
-    NEVER_STARTED = "never_started"  # the exchange was over, or the instance is not known
-    FAULT = "fault"  # an exception of our own; it may have run
+    BROKE_UNSENT = "broke_unsent"  # the connection broke before the request's last byte was written
+    UNFINISHED = "unfinished"  # the client did not finish the body, which says nothing about the server
+    RESET = "reset"  # the connection broke after that byte, before a response began
+    CUT_SHORT = "cut_short"  # the connection broke within a response
+    GARBLED = "garbled"  # the response is invalid
+    TIMED_OUT = "timed_out"  # no response by the attempt's deadline
+    CANCELLED = "cancelled"  # cancelled by the balancer
+    NO_SOCKET = "no_socket"  # no connection was opened, as no file descriptor was free
+    NEVER_STARTED = "never_started"  # the exchange had ended, or the server is not known
+    FAULT = "fault"  # an exception in the balancer; the request may have run
 
     @property
     def status(self) -> Status:
+        """The status that the policy receives for this outcome."""
         return _STATUS[self]
 
 
-# The one place where an outcome becomes the status that the decision module hears.
+# The only mapping of outcomes to the statuses that the policy receives.
 _STATUS = {
     AttemptOutcome.SERVED: Status.OK,
     AttemptOutcome.INSTANCE_ERROR: Status.ERROR,
@@ -63,9 +64,10 @@
 
 @dataclass(slots=True, init=False)
 class Response:
-    """An instance's answer, passed on unchanged; `head`: its header lines, each with its line end.
+    """A server's response, forwarded unchanged.
 
-    `flow`: the body, which comes piece by piece and is not in `body`.
+    `head` holds the header lines, each with its line end.  `body_stream` is set instead of `body` if the
+    body is streamed.
     """
 
     body: bytes
@@ -78,7 +80,7 @@
 
 @dataclass(slots=True, init=False)
 class Refusal:
-    """A refusal: nothing was done, or a repeat does no harm."""
+    """A refusal: the request had no effect, or may be repeated without harm."""
 
     retry_after_us: int
 
@@ -88,7 +90,7 @@
 
 @dataclass(slots=True)
 class Failure:
-    """No promise about the effect."""
+    """A failed request, which may or may not have had its effect."""
 
     reason: str
 
@@ -98,10 +100,10 @@
 
 @dataclass(slots=True, init=False)
 class Message:
-    """What is passed on to an instance; the engine does not look into it.
+    """The request as it is forwarded to a server; the engine does not interpret it.
 
-    `head`: the header lines, each with its line end, but for those of one connection only.  `flow`: the rest
-    of the body, behind what is in `body`.
+    `head` holds the header lines, each with its line end, without the hop-by-hop ones.  `body_stream` is the
+    rest of the body, which follows `body`.
     """
 
     method: bytes
@@ -128,13 +130,13 @@
 
 
 class Attempt:
-    """One attempt at an exchange on one instance; times in microseconds of the engine's clock.
+    """One attempt of an exchange on one server; times in microseconds of the engine's clock.
 
-    It knows its exchange by `request`, the id, alone: with a reference each way, each request left a cycle
-    for the garbage collector, which then took 8% of an overloaded balancer's CPU.
+    It refers to its exchange only by the id `request`: references in both directions left a cycle for the
+    garbage collector per request, which then took 8% of an overloaded balancer's CPU.
 
-    `left_us`: while the request's body still comes, how long its answer will be waited for from the last
-    byte on; 0 once that has come.  `write_by_us`: from then on nothing of it may be written.
+    `left_us` is non-zero while the request's body is being received: the time limit for the response,
+    counted from the body's last byte.  From `write_by_us` on the attempt must not be written.
     """
 
     __slots__ = (
@@ -160,7 +162,7 @@
         left_us: int = 0,
         write_by_us: int = 0,
     ) -> None:
-        """`write_by_us` 0: until its time is up."""
+        """Create an attempt; with `write_by_us` 0 it may be written until its deadline."""
         self.left_us = left_us
         self.write_by_us = write_by_us or deadline_at_us
         self.request, self.message, self.number, self.server = request, message, number, server
@@ -168,28 +170,30 @@
         self.outcome: AttemptOutcome | None = None
 
     def forbid_writing(self) -> None:
-        """Its request is over: if nothing of it is written yet, nothing will be."""
+        """Prevent the writing of an attempt that is not written yet, as its request has ended."""
         self.left_us, self.write_by_us = 0, ALWAYS_PAST_US
 
     def time_left_us(self, now_us: int) -> int:
-        """How long its answer will be waited for if it is written now; 0: it may not be written any more."""
+        """Return how long to wait for the response if the attempt is written now; 0: it must not be."""
         if self.left_us:
             return self.left_us
         return self.deadline_at_us - now_us if now_us < self.write_by_us else 0
 
 
 def client_not_gone() -> bool:
-    """In place of a look at the client's connection: it has not left."""
+    """Default for `Exchange.check_client_gone`: report that the client is still connected."""
     return False
 
 
 class Exchange:
-    """A client's request and its one final answer; the only thing that both sides know.
-
-    `left_us` counts from `came_us`, a time of the engine's clock (0: from when it is opened).  While its body
-    is `coming`, it counts from the body's end.
-    `on_answer` is called once, with the final answer, within the engine's turn; not if the client has gone.
-    `check_left` looks whether the client has closed unheard of; if so, the engine knows when it returns.
+    """A client's request and its single final answer; the only object that both sides use.
+
+    `left_us` is the time limit of the answer, counted from `arrived_us` on the engine's clock (0: from when
+    the exchange is opened), or from the end of the request's body if this `is_uploading`.
+    `on_answer` is called once with the final answer, while the engine processes an event; it is not called
+    if the client has gone.
+    `check_client_gone` looks for a close by the client that is not processed yet; if there is one, the
+    engine has been notified when it returns.
     """
 
     __slots__ = (
@@ -234,17 +238,17 @@
         self.attempts: list[Attempt] = []
         self.deadline_timer: Timer | None = None
         self.answer: Answer | None = None
-        self.is_client_gone = False  # the client, before it had an answer
+        self.is_client_gone = False  # before the answer
 
     @property
     def closed(self) -> bool:
-        """Answered, or its client has gone."""
+        """Whether the exchange is answered or its client has gone."""
         return self.is_client_gone or self.answer is not None
 
 
 @dataclass(slots=True, init=False)
 class Result:
-    """What came of an attempt or a probe."""
+    """The result of an attempt or a probe; `report`: the server's load report."""
 
     outcome: AttemptOutcome
     report: tuple[float, ...] = ()
--- a/roadlb/wheel.py
+++ b/roadlb/wheel.py
@@ -1,4 +1,4 @@
-"""Many deadlines on one timer of the event loop."""
+"""Runs many timers on a single timer of the event loop."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 logger = logging.getLogger(__name__)
 
-# Deadlines are kept by slots of so long and never come early.  The final answer may be 50 ms late by the
-# rules; asyncio's own timers cost 3 to 5 times as much for each request that sets and cancels two.
+# Timers are grouped by slots of this length and never fire early.  A final answer may be 50 ms late;
+# asyncio's own timers cost 3 to 5 times as much for each request that sets and cancels two.
 SLOT_US = 5_000
 
 
 class _Slot:
-    """The calls of one slot, and how many of them are still to be made."""
+    """The timers of one slot, and how many of them are pending."""
 
     __slots__ = ("pending_count", "timers")
 
@@ -28,7 +28,7 @@
 
 
 class Timer:
-    """A call to come, which may be cancelled."""
+    """A scheduled call, which can be cancelled."""
 
     __slots__ = ("_slot", "arg", "callback")
 
@@ -39,25 +39,25 @@
         slot.pending_count += 1
 
     def cancel(self) -> None:
-        """Nothing of it is kept but its place; a second time has no effect."""
+        """Cancel the call and drop its references; has no effect a second time."""
         if self.callback is not None:
             self.callback = self.arg = None
             self._slot.pending_count -= 1
 
 
 class TimerWheel:
-    """Calls functions at times of a clock, at most one slot late (and by as much as the loop is behind)."""
+    """Calls functions at times of a clock, at most one slot late plus the event loop's own delay."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._loop = asyncio.get_running_loop()
         self._slots: dict[int, _Slot] = {}
-        self._slot_heap: list[int] = []  # a heap of the slots
+        self._slot_heap: list[int] = []  # a heap of the numbers of the slots
         self._wakeup: asyncio.TimerHandle | None = None
-        self._armed_slot = 0  # the one that `_next` is for
+        self._armed_slot = 0  # the slot that `_wakeup` is set for
 
     def call_at(self, when_us: int, callback: Callable[[Any], None], arg: Any) -> Timer:
-        """Call `call(arg)` once the clock has reached `when_us`."""
+        """Call `callback(arg)` once the clock has reached `when_us`."""
         slot_number = -(-when_us // SLOT_US)
         slot = self._slots.get(slot_number)
         if slot is None:
@@ -72,7 +72,7 @@
         if self._wakeup:
             self._wakeup.cancel()
             self._wakeup = None
-        # For slots whose calls were all cancelled the loop is not woken: guards rarely come to be called.
+        # The loop is not woken for slots whose timers were all cancelled, as most deadline timers are.
         while self._slot_heap and not self._slots[self._slot_heap[0]].pending_count:
             del self._slots[heapq.heappop(self._slot_heap)]
         if self._slot_heap:
@@ -90,12 +90,12 @@
                 callback, arg, timer.callback, timer.arg = timer.callback, timer.arg, None, None
                 try:
                     callback(arg)
-                except Exception:  # one deadline's fault must not cost the others theirs
+                except Exception:  # must not keep the other timers from firing
                     logger.exception("timer failed")
         self._arm()
 
     def close(self) -> None:
-        """Forget all that is to come."""
+        """Drop all timers without calling them."""
         self._slots.clear()
         self._slot_heap.clear()
         self._arm()
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine, the exchange and the name table's reading, without sockets."""
+"""The engine, exchanges, the timer wheel and the parsing of server lists and headers, without sockets."""
 
 from __future__ import annotations
 
@@ -62,12 +62,14 @@
 
 
 class RecordingExecutor:
-    """Stands in for the side that reaches the instances."""
+    """An executor that records its calls."""
 
     def __init__(self) -> None:
         self.started: list[Attempt] = []
         self.cancelled: list[Attempt] = []
-        self.withdrawn: list[Attempt] = []  # if nothing of them had been sent, which it has here
+        self.withdrawn: list[
+            Attempt
+        ] = []  # `unsent`: to be cancelled only if nothing was sent, while here it was
         self.probed: list[bytes] = []
 
     def start(self, attempt: Attempt) -> None:
@@ -81,7 +83,7 @@
 
 
 class ScriptedPolicy:
-    """Stands in for the module: answers each kind of event with what the test has set."""
+    """A policy that returns the actions which the test has set for each type of event."""
 
     def __init__(self) -> None:
         self.replies: dict[type, Callable[[Event], list[Action]]] = {}
@@ -100,7 +102,7 @@
 
 
 def new_exchange(left_us: int = 1_000_000) -> Exchange:
-    """One that notes its answers in `ANSWERS`."""
+    """Return an exchange that records its answers in `ANSWERS`."""
     ANSWERS.clear()
     return Exchange(
         Message(b"GET", b"/grid-read/k"),
@@ -118,7 +120,7 @@
     asyncio.run(main())
 
 
-def test_only_what_is_proved_never_to_have_run_says_so() -> None:
+def test_only_attempts_proved_never_to_have_run_have_such_a_status() -> None:
     never = {e for e in AttemptOutcome if e.status in NEVER_RAN}
     assert never == {
         AttemptOutcome.TURNED_AWAY,
@@ -146,7 +148,7 @@
     run(main)
 
 
-def test_an_exception_costs_only_its_own_request() -> None:
+def test_an_exception_fails_only_its_own_request() -> None:
     async def main() -> None:
         policy = ScriptedPolicy()
         engine, executor = new_engine(policy)
@@ -161,8 +163,8 @@
     run(main)
 
 
-def test_a_module_that_fails_on_everything_ends_neither_the_process_nor_an_answer() -> None:
-    # Telling it that the request is over fails as well, and must not be told again for ever.
+def test_a_policy_that_always_raises_stops_neither_the_process_nor_an_answer() -> None:
+    # Notifying the policy that the request has ended fails as well, and must not be repeated endlessly.
     async def main() -> None:
         policy = ScriptedPolicy()
         engine, executor = new_engine(policy)
@@ -178,7 +180,7 @@
     run(main)
 
 
-def test_a_hang_up_in_the_moment_of_the_answer_is_no_client_gone() -> None:
+def test_a_client_that_closes_as_it_is_answered_does_not_count_as_gone() -> None:
     async def main() -> None:
         policy = ScriptedPolicy()
         engine, _ = new_engine(policy)
@@ -195,7 +197,7 @@
     run(main)
 
 
-def test_what_the_module_forgets_is_answered_all_the_same() -> None:
+def test_a_request_that_the_policy_forgets_is_answered_at_its_deadline() -> None:
     async def main() -> None:
         policy = ScriptedPolicy()
         engine, _ = new_engine(policy)
@@ -209,7 +211,7 @@
     run(main)
 
 
-def test_an_answer_is_final_and_later_sends_are_moot() -> None:
+def test_after_the_final_answer_further_sends_are_not_started() -> None:
     async def main() -> None:
         policy = ScriptedPolicy()
         engine, executor = new_engine(policy)
@@ -232,9 +234,9 @@
     run(main)
 
 
-def test_a_send_that_crosses_its_client_leaving_is_not_started_and_ends_for_the_module() -> None:
-    # Carrying out an earlier action of the same turn has the client found gone; the module, which counts the
-    # attempt as open at its server, hears of that only later, and must hear how the attempt ended too.
+def test_a_send_after_its_client_has_gone_is_not_started_and_its_end_is_reported_to_the_policy() -> None:
+    # An earlier action of the same event shows that the client has gone.  The policy counts the attempt as
+    # open on its server and learns of the client only later, so it must also receive the attempt's outcome.
     async def main() -> None:
         policy = ScriptedPolicy()
         engine, executor = new_engine(policy)
@@ -253,8 +255,8 @@
     run(main)
 
 
-def test_over_the_most_open_a_request_is_nacked_before_the_module() -> None:
-    # With no descriptor left every dial and every accept would fail.
+def test_beyond_max_open_a_request_is_refused_without_the_policy() -> None:
+    # Without free descriptors every connect and every accept would fail.
     async def main() -> None:
         policy = ScriptedPolicy()
         engine, _ = new_engine(policy)
@@ -270,7 +272,7 @@
     run(main)
 
 
-def test_without_room_a_refusal_tells_only_what_the_settings_allow() -> None:
+def test_a_refusal_beyond_max_open_gives_only_the_retry_advice_that_the_settings_allow() -> None:
     async def main() -> None:
         engine = Engine(
             ScriptedPolicy(),  # type: ignore[arg-type]
@@ -287,7 +289,7 @@
     asyncio.run(main())
 
 
-def test_timers_and_probes() -> None:
+def test_timers_fire_and_probes_are_sent_and_reported() -> None:
     async def main() -> None:
         policy, fired = ScriptedPolicy(), asyncio.Event()
         engine, executor = new_engine(policy)
@@ -302,11 +304,13 @@
     run(main)
 
 
-def test_the_program_freezes_what_the_imports_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Without it each full collection stalled all requests for 13 to 15 ms (overload-5 on the bench).
+def test_the_program_freezes_objects_left_by_imports_after_a_full_collection(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # Otherwise each full collection stalled all requests for 13 to 15 ms (in the scenario overload-5).
     frozen: list[int] = []
     full = gc.get_stats()[2]["collections"]
-    monkeypatch.setattr(gc, "set_threshold", lambda *n: None)  # it would hold for the other tests too
+    monkeypatch.setattr(gc, "set_threshold", lambda *n: None)  # would affect the other tests too
 
     def freeze() -> None:
         frozen.append(gc.get_count()[2])
@@ -324,12 +328,13 @@
             20,
         )
     )
-    assert frozen == [0]  # once, and just after a full collection
-    # Against the number that lived before, the next full one waited for some MB of garbage in cycles.
+    assert frozen == [0]  # once, right after a full collection
+    # Two full collections: later ones are triggered relative to the last one's survivors.  Relative to those
+    # before the freeze, the next full collection waited for some MB of cyclic garbage.
     assert gc.get_stats()[2]["collections"] >= full + 2
 
 
-def test_an_address_that_a_predecessor_still_holds_is_waited_for() -> None:
+def test_the_program_waits_for_a_listen_address_still_in_use() -> None:
     async def main() -> None:
         loop, logged = asyncio.get_running_loop(), asyncio.Event()
         old = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
@@ -384,7 +389,7 @@
 }
 
 
-def test_a_list_line_is_read() -> None:
+def test_a_server_list_update_is_parsed() -> None:
     update = new_discovery().parse(
         {"generation": 4, "reset": False, "instances": [ENTRY, {"instanceId": "s-2", "lifecycle": "removed"}]}
     )
@@ -395,21 +400,21 @@
     assert (update.generation, update.kind) == (4, ListKind.DELTA)
 
 
-def test_a_start_is_told_in_clock_time_and_always_the_same() -> None:
-    # A start that moved by a microsecond would look like a restart of the process.
+def test_a_server_start_time_is_converted_to_the_clock_without_jitter() -> None:
+    # A start time that moved by a microsecond would look like a restart of the server.
     discovery, entry = new_discovery(), {**ENTRY, "startedAtMs": 1_700_000_000_000}
     raw = {"generation": 1, "reset": True, "instances": [entry]}
     assert discovery.parse(raw) == discovery.parse(raw)
     assert discovery.parse(raw).members[0].born_us == 1_700_000_000_000_000 + discovery._unix_to_clock
 
 
-def test_ids_come_from_the_name_whatever_the_address() -> None:
+def test_server_ids_depend_on_the_name_and_not_on_the_address() -> None:
     raw = [
         {"generation": 1, "reset": True, "instances": [{**ENTRY, "hostPort": at}]}
         for at in ("10.1.0.18:8080", "127.0.0.9:1")
     ]
     assert new_discovery().parse(raw[0]).members == new_discovery().parse(raw[1]).members
-    # Known values: another process, or another version, must come to the same.
+    # Fixed values: other processes and other versions must compute the same.
     assert (server_id("s-1").hex(), key_number(b"k"), key_number(b"")) == (
         "03231059c9d4de0d",
         7193521810918036140,
@@ -432,7 +437,7 @@
         {"zone": []},
     ],
 )
-def test_a_malformed_entry_spoils_its_line(change: dict[str, object]) -> None:
+def test_a_malformed_entry_makes_its_update_malformed(change: dict[str, object]) -> None:
     with pytest.raises(MalformedList):
         new_discovery().parse({"generation": 1, "reset": True, "instances": [{**ENTRY, **change}]})
 
@@ -449,12 +454,12 @@
         {"generation": 1, "reset": 1, "instances": []},
     ],
 )
-def test_a_malformed_line(raw: object) -> None:
+def test_a_malformed_update_is_rejected(raw: object) -> None:
     with pytest.raises(MalformedList):
         new_discovery().parse(raw)
 
 
-def test_load_reports_under_either_name_and_none_if_not_whole() -> None:
+def test_load_reports_are_read_under_either_name_and_ignored_if_incomplete_or_invalid() -> None:
     reports = LoadReports(("eps", "queue"))
     assert reports.read(b"queue=2,eps=0.5,util=1") == (0.5, 2.0)
     assert reports.read(b"q=2,fail_rate=0.5") == (0.5, 2.0)
@@ -473,7 +478,7 @@
     ] == [()] * 8
 
 
-def test_headers_of_one_connection_stay_on_it() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     headers = Headers(
         [
             (b"X-Hop", b"1"),
@@ -489,13 +494,13 @@
 
 
 @pytest.mark.parametrize("value", [b"a\r\nX: y", b"a\n b", b"a\rb", b"a\0b"])
-def test_a_value_that_would_be_two_lines_is_not_passed_on(value: bytes) -> None:
+def test_a_header_value_with_line_breaks_is_not_forwarded(value: bytes) -> None:
     with pytest.raises(Faulty):
         Headers([(b"Accept", value)]).passed_on()
 
 
-def test_the_wheel_calls_in_order_never_early_and_not_what_was_cancelled() -> None:
-    # One that fails must not cost the others their deadline.
+def test_the_timer_wheel_calls_in_order_never_early_and_no_cancelled_timer() -> None:
+    # A timer that raises must not keep the others from firing.
     async def main() -> None:
         now, called = 0, []
         done = asyncio.Event()
@@ -516,7 +521,7 @@
     run(main)
 
 
-def test_a_record_is_one_line_of_key_value_pairs() -> None:
+def test_a_log_record_is_one_line_of_key_value_pairs() -> None:
     record = logging.makeLogRecord(
         {
             "msg": "it ended",
