--- a/roadlb/body_stream.py
+++ b/roadlb/body_stream.py
@@ -76,6 +76,7 @@
                 self._source.set_body_reading(False)
 
     def set_reading(self, on: bool) -> None:
+        """Resume or pause the source's reading."""
         if self._source is not None:
             self._source.set_body_reading(on)
 
@@ -94,11 +95,13 @@
     # The source's side
 
     def feed_data(self, data: bytes) -> None:
+        """Pass a part of the body to the sink."""
         if self._sink is not None:
             self.has_delivered = True
             self._sink.body_data(data)
 
     def feed_end(self, is_complete: bool) -> None:
+        """Tell the sink that the body has ended; False: the source failed before its end."""
         sink, self._source, self._sink = self._sink, None, None
         if sink is not None:
             sink.body_end(is_complete)
--- a/roadlb/engine.py
+++ b/roadlb/engine.py
@@ -296,6 +296,7 @@
             self._counters.add(name)
 
     def list_update(self, kind: ListKind, members: list[Member]) -> None:
+        """Pass an update of the server list to the policy."""
         self._dispatch(ListUpdate(kind, members))
 
     def attempt_ended(self, attempt: Attempt, result: Result) -> None:
@@ -323,6 +324,7 @@
         self._remove_if_done(exchange)
 
     def probe_ended(self, server: ServerId, latency_us: int, result: Result) -> None:
+        """Process the end of a probe."""
         self._counters.add(f"probe.{result.outcome.value}")
         self._dispatch(Probed(server, result.outcome.status, latency_us, result.report))
 
