--- a/tests/engine/test_own_load.py
+++ b/tests/engine/test_own_load.py
@@ -12,13 +12,13 @@
 from roadlb.clock import monotonic_us
 from roadlb.counters import Counters
 from roadlb.engine import Engine
-from roadlb.exchange import Answer, AttemptOutcome, Exchange, Message, Refusal, Result, Served
+from roadlb.exchange import Answer, AttemptOutcome, Exchange, Message, Refusal, Result, Response
 from roadlb.overload.meter import Limits
 from roadlb.overload.pulse import BEAT_US
 from roadlb.own_load import LATE_ENOUGH_US, OwnLoad
 from roadlb.policy.interface import Action, Event, ListKind, Member, RequestClass, Settings, Shortage
 from roadlb.policy.logic import Balancer
-from roadlb.wheel import Wheel
+from roadlb.wheel import TimerWheel
 
 SERVER_ID = b"s1"
 
@@ -82,7 +82,7 @@
     async def main() -> None:
         now = 1_000_000_000
         policy = RecordingPolicy()
-        engine = Engine(policy, Counters(), lambda: now, Wheel(lambda: now))
+        engine = Engine(policy, Counters(), lambda: now, TimerWheel(lambda: now))
         own_load = OwnLoad(lambda: now, engine, Limits(1.0), 500_000, lambda: 1, lambda on: None, lambda: 0)
         now += 10_000 + late_us  # the first beat is due after 10 ms
         assert now - own_load.came_us(FakeTransport(received_ms_ago)) == age_us  # type: ignore[arg-type]
@@ -95,7 +95,7 @@
     async def main() -> None:
         now, cpu = 1_000_000_000, 0
         policy, tighten_calls = RecordingPolicy(), list[bool]()
-        engine = Engine(policy, Counters(), lambda: now, Wheel(lambda: now))
+        engine = Engine(policy, Counters(), lambda: now, TimerWheel(lambda: now))
         own_load = OwnLoad(
             lambda: now,
             engine,
@@ -122,9 +122,9 @@
     async def main() -> None:
         now = monotonic_us()
         settings = Settings(classes=[RequestClass("grid-read", 500_000, 2_500_000)])
-        engine = Engine(Balancer(settings, 1), Counters(), lambda: now, Wheel(lambda: now))
+        engine = Engine(Balancer(settings, 1), Counters(), lambda: now, TimerWheel(lambda: now))
         engine.executor = executor = RecordingExecutor()
-        engine.shortage(0.0)  # the policy is always notified of the first reading
+        engine.set_shed_share(0.0)  # the policy is always notified of the first reading
         engine.list_update(ListKind.FULL, [Member(SERVER_ID)])
         answers: list[Answer] = []
 
@@ -146,7 +146,7 @@
         for _ in range(3):
             open_request(now)
             now += 50_000
-            engine.attempt_ended(executor.started[-1], Result(AttemptOutcome.SERVED, (), Served(b"")))
+            engine.attempt_ended(executor.started[-1], Result(AttemptOutcome.SERVED, (), Response(b"")))
         open_request(now - 390_000)
         assert isinstance(answers[-1], Refusal) and len(executor.started) == 3
         open_request(now - 200_000)
