--- a/benchmarks/probes/variant.py
+++ b/benchmarks/probes/variant.py
@@ -50,7 +50,7 @@
 def allow_retries() -> None:
     from roadlb.policy import logic
 
-    logic.RETRY_SHARE, logic.PRESS, logic.FULL_MOST_US = 1.0, 0.0, 0
+    logic.RETRY_RATIO, logic.PRESS, logic.FULL_MOST_US = 1.0, 0.0, 0
 
 
 def main() -> None:
--- a/benchmarks/shared_state.py
+++ b/benchmarks/shared_state.py
@@ -26,7 +26,7 @@
 from roadlb.lab.model.share_fleet import CALM, ShareFleet, Weather  # noqa: E402
 from roadlb.lab.model.shares import ENDLESS, FAST, SLOW, Scope, search  # noqa: E402
 from roadlb.lab.model.told_fleet import ORDER, SECOND, Air, ToldFleet  # noqa: E402
-from roadlb.policy.interface import ListKind, ListUpdate, Member, Shortage, Tenant  # noqa: E402
+from roadlb.policy.interface import ListKind, ListUpdate, Member, ProcessOverload, Tenant  # noqa: E402
 from roadlb.shared_state.budgets import Terms  # noqa: E402
 
 EVEN = Terms(instances=2, whole=4, lease_us=2, drift_ppm=0, margin_us=1, renew_us=0, wait_us=0, skip_us=0)
@@ -175,7 +175,7 @@
     asked = 0
     for _ in range(12):
         for i in range(40):
-            f._do(i, Shortage(0.33))
+            f._do(i, ProcessOverload(0.33))
         f.weights = [1.0] * 40
         f.play(0.5, 320, tenant=1)
         f.weights = [1.0] * 4 + [0.0] * 36
--- a/benchmarks/sites_account.py
+++ b/benchmarks/sites_account.py
@@ -119,14 +119,14 @@
     """Now and then: when, which balancer, its shortage, wait, usual wait, and what is in hand."""
     seen: list[tuple[int, int, float, float, float, int]] = []
     known: dict[Balancer, tuple[int, int]] = {}  # its number, and when it was looked at
-    wanting = Balancer.wanting
+    measure_shortage = Balancer.measure_shortage
 
     def looked(self: Balancer) -> float:
-        share = wanting(self)
+        share = measure_shortage(self)
         number, at = known.get(self, (len(known), -VIEW_US))
         if self.now - at >= VIEW_US:
             known[self] = number, self.now
-            hand = self.hand
+            hand = self.in_flight_load
             seen.append(
                 (
                     self.now,
@@ -139,11 +139,11 @@
             )
         return share
 
-    Balancer.wanting = looked  # type: ignore[method-assign]
+    Balancer.measure_shortage = looked  # type: ignore[method-assign]
     try:
         yield seen
     finally:
-        Balancer.wanting = wanting  # type: ignore[method-assign]
+        Balancer.measure_shortage = measure_shortage  # type: ignore[method-assign]
 
 
 if __name__ == "__main__":
--- a/benchmarks/sites_cost.py
+++ b/benchmarks/sites_cost.py
@@ -19,16 +19,16 @@
 from roadlb.policy.interface import (
     Arrival,
     Effect,
-    Heard,
     ListKind,
     ListUpdate,
     Member,
     Outcome,
     RequestClass,
     Send,
-    Settings,
     SetTimer,
-    SiteWord,
+    Settings,
+    SharedStateUpdate,
+    SiteOverride,
     Status,
     TimerFired,
 )
@@ -88,17 +88,17 @@
 
 
 def out(play: Play) -> None:
-    play.do(SiteWord(HALL, out=True))
+    play.do(SiteOverride(HALL, out=True))
 
 
 def returning(play: Play) -> None:
     """From the first step, which takes 0.5 s at the least."""
-    play.do(SiteWord(HALL, out=True))
-    play.do(SiteWord(HALL, out=False))
+    play.do(SiteOverride(HALL, out=True))
+    play.do(SiteOverride(HALL, out=False))
 
 
 def shedding(play: Play) -> None:
-    play.do(Heard(pressure=0.5))
+    play.do(SharedStateUpdate(fleet_shortage=0.5))
 
 
 CASES: dict[str, Callable[[Play], None]] = {
--- a/roadlb/engine.py
+++ b/roadlb/engine.py
@@ -18,35 +18,35 @@
 from .log import fields
 from .policy.interface import (
     Action,
+    AdmissionCheck,
     Arrival,
-    BodyWhole,
+    BodyComplete,
     Cancel,
-    Changed,
     ClientGone,
     Event,
     Fail,
-    Heard,
     ListKind,
     ListUpdate,
     Log,
     Member,
-    Offer,
     Outcome,
     Probe,
     Probed,
+    ProcessCount,
+    ProcessOverload,
     Refuse,
-    Report,
     Send,
     ServerId,
     SetTimer,
     Settings,
-    Shortage,
-    SiteWord,
+    SettingsChanged,
+    SharedStateUpdate,
+    SiteOverride,
     Status,
     Subscribe,
     TimerFired,
-    Twins,
     View,
+    ViewQuery,
 )
 from .sites.events import SiteView
 from .wheel import Wheel
@@ -182,7 +182,7 @@
                 attempt.write_by_us = exchange.until_us
                 assert self.executor
                 self.executor.extend(attempt)
-        self._feed(BodyWhole(exchange.id, max(1, exchange.left_us)), now)
+        self._feed(BodyComplete(exchange.id, max(1, exchange.left_us)), now)
         self._watch_over(exchange)
 
     def client_gone(self, exchange: Exchange) -> None:
@@ -208,7 +208,7 @@
 
     def view(self) -> View:
         """What the module believes of each server now."""
-        for action in self._balancer.handle(self._clock(), Report()):
+        for action in self._balancer.handle(self._clock(), ViewQuery()):
             if isinstance(action, View):
                 return action
         return View([])
@@ -221,7 +221,9 @@
     def offer(self, class_index: int, tenant: int, key: int, left_us: int, work_us: int) -> Refusal | None:
         """Would the module refuse this request, whose body has not come?  Then it need not be opened."""
         try:
-            actions = self._balancer.handle(self._clock(), Offer(class_index, tenant, key, left_us, work_us))
+            actions = self._balancer.handle(
+                self._clock(), AdmissionCheck(class_index, tenant, key, left_us, work_us)
+            )
         except Exception:
             self._counters.add("fault.engine")
             logger.exception("offer failed")
@@ -238,7 +240,7 @@
     def shortage(self, share: float) -> None:
         """At least this share of the demand is to be refused for want of the program's own means."""
         self._short = share > 0
-        self._feed(Shortage(share))
+        self._feed(ProcessOverload(share))
 
     def limit(self, max_open: int) -> None:
         """So many exchanges may be open at once from now on."""
@@ -246,20 +248,20 @@
 
     def twins(self, count: int) -> None:
         """So many processes are this one instance now."""
-        self._feed(Twins(count))
+        self._feed(ProcessCount(count))
 
-    def heard(self, event: Heard) -> None:
+    def heard(self, event: SharedStateUpdate) -> None:
         """What balancers share, as far as this one knows by now."""
         self._feed(event)
 
     def changed(self, settings: Settings) -> None:
-        """These hold from now on, for what is open as `policy.interface.Changed` has it."""
-        self._feed(Changed(settings))
+        """These hold from now on, for what is open as `policy.interface.SettingsChanged` has it."""
+        self._feed(SettingsChanged(settings))
 
     def site_word(self, site: int, out: bool) -> SiteView | None:
         """An operator's word on a hall, by its number, and how it stands then; None: there is no such
         hall."""
-        self._feed(SiteWord(site, out))
+        self._feed(SiteOverride(site, out))
         return next((view for view in self.view().sites if view.site == site), None)
 
     def asked_and_refused(self) -> tuple[int, int]:
--- a/roadlb/following/following.py
+++ b/roadlb/following/following.py
@@ -45,8 +45,7 @@
 from ..fleet.model import Cluster, NodeId, Picture
 from ..fleet.steps import up
 from ..log import fields
-from ..policy.interface import Heard as ModuleHeard
-from ..policy.interface import Settings
+from ..policy.interface import Settings, SharedStateUpdate
 from ..store.disk import Disk
 from ..store.state import Change, Drain, Refusal, State, after
 from ..store.store import Store
@@ -93,7 +92,7 @@
         wall: Clock,
         counters: Counters,
         lead: Callable[[Mapping[str, object], bool], None],
-        tell: Callable[[ModuleHeard], None],
+        tell: Callable[[SharedStateUpdate], None],
         lapse_at: Callable[[int], None],
         dial: Dial,
         disk: Disk | None,
@@ -127,7 +126,7 @@
             lambda: self._decide(Linked()),
         )
         self._reopened: dict[VersionId, tuple[NodeId, ...]] = {}
-        self._heard: ModuleHeard | None = None
+        self._heard: SharedStateUpdate | None = None
         self._old = True  # nothing was granted since the start
         self._waiting: list[tuple[Change, list[Remember]]] = []
         self._due = asyncio.Event()
--- a/roadlb/following/settings.py
+++ b/roadlb/following/settings.py
@@ -2,9 +2,9 @@
 
     key                          what is done while it runs
     each balancer's own          the version's is passed over: the file's holds
-    tenants.*.quota_per_s        followed, as a part of the file's quota (`policy.interface.Heard.wholes`)
+    tenants.*.quota_per_s        followed, as a part of the file's quota (`SharedStateUpdate.quota_factors`)
     instances                    followed, as the parts that quotas and cold servers' shares are divided by
-    FOLLOWED, below              followed, as the module's settings (`policy.interface.Changed`)
+    FOLLOWED, below              followed, as the module's settings (`policy.interface.SettingsChanged`)
     all others                   must be what this process runs with: a version that says otherwise is refused
 
 What a version does not say is not agreed on: the file's holds.  So one that leaves out a key which grants,
@@ -20,7 +20,7 @@
 from ..agreement.rules import Floors, Unreadable, floor
 from ..agreement.table import OWN, line_of
 from ..config import ConfigError, Pairs, read_settings
-from ..policy.interface import Heard, Settings
+from ..policy.interface import Settings, SharedStateUpdate
 
 Texts = Mapping[str, str]
 QUOTA = ".quota_per_s"
@@ -157,7 +157,7 @@
         )
         return [f"{path}={b.get(path, '')}" for path in dict.fromkeys((*a, *b)) if a.get(path) != b.get(path)]
 
-    def heard(self, settings: Texts, twins: int) -> Heard:
+    def heard(self, settings: Texts, twins: int) -> SharedStateUpdate:
         """What of them the module is to be told; `twins`: processes that are one balancer."""
         instances = int(float(settings.get("instances", self._file.get("instances", "1"))))
         parts = max(1, instances) * twins
@@ -166,7 +166,7 @@
             told = float(settings.get(path, quota))
             if told != quota:
                 wholes[int(path.split(".")[1])] = told / quota if quota else 0.0
-        return Heard(parts=parts, wholes=wholes)
+        return SharedStateUpdate(process_count=parts, quota_factors=wholes)
 
 
 def _over(file: Texts, told: Texts) -> dict[str, str]:
--- a/roadlb/lab/capacity/decisions.py
+++ b/roadlb/lab/capacity/decisions.py
@@ -29,11 +29,11 @@
     ListUpdate,
     Member,
     Outcome,
-    Report,
     Send,
     SetTimer,
     Status,
     TimerFired,
+    ViewQuery,
 )
 from ...policy.logic import Balancer
 from .limits import Demand
@@ -102,7 +102,7 @@
     known = time.process_time() - began
     began = time.process_time()
     for _ in range(VIEWS):
-        replay.balancer.handle(replay.now, Report())
+        replay.balancer.handle(replay.now, ViewQuery())
     view = time.process_time() - began
     return {
         "new key CPU us": first / keys * 1e6,
--- a/roadlb/lab/model/shedding.py
+++ b/roadlb/lab/model/shedding.py
@@ -33,12 +33,12 @@
     ListUpdate,
     Member,
     Outcome,
+    ProcessOverload,
     Refuse,
     RequestClass,
     Send,
     SetTimer,
     Settings,
-    Shortage,
     Status,
     TimerFired,
 )
@@ -433,8 +433,8 @@
                 self.told.append(action)
                 if isinstance(action, Shed):
                     self.share = action.share
-                    self.feed(Shortage(action.share))
-        self.samples.append(Sample(self.now, reading, self.share, self.balancer.pressure))
+                    self.feed(ProcessOverload(action.share))
+        self.samples.append(Sample(self.now, reading, self.share, self.balancer.shortage))
         self.at(self.now + READ_US, self.measure, None)
 
     # What came of it
--- a/roadlb/lab/model/told_fleet.py
+++ b/roadlb/lab/model/told_fleet.py
@@ -18,20 +18,20 @@
     Action,
     Arrival,
     Effect,
-    Heard,
     ListKind,
     ListUpdate,
     Member,
     Outcome,
     Refuse,
-    Report,
     RequestClass,
     Send,
     SetTimer,
     Settings,
+    SharedStateUpdate,
     Status,
     TimerFired,
     View,
+    ViewQuery,
 )
 from ...policy.logic import Balancer
 from ...shared_state import told as shared
@@ -77,7 +77,7 @@
     told: Told | None
     random: random.Random
     served: int = 0
-    heard: list[Heard] = field(default_factory=list)
+    heard: list[SharedStateUpdate] = field(default_factory=list)
 
 
 class ToldFleet:
@@ -230,7 +230,7 @@
     def _pulse(self, i: int) -> None:
         self._put(shared.PULSE_US, self._pulse, i)
         party = self.parties[i]
-        (view,) = party.balancer.handle(self.now, Report())
+        (view,) = party.balancer.handle(self.now, ViewQuery())
         assert isinstance(view, View)
         self._shared(i, shared.Pulse(view, party.served))
 
@@ -249,8 +249,8 @@
                 for to in others if a.most is None else self.net.sample(others, min(a.most, len(others))):
                     self._message(i, to, a.payload)
 
-    def _note(self, i: int, heard: Heard) -> None:
-        for server, until in heard.avoid.items():
+    def _note(self, i: int, heard: SharedStateUpdate) -> None:
+        for server, until in heard.avoid_until.items():
             since = max(self.now, self._avoided.get((i, server), 0))
             self.avoided_us[server] = self.avoided_us.get(server, 0) + max(0, until - since)
             self._avoided[i, server] = max(until, since)
--- a/roadlb/lab/sharing/record.py
+++ b/roadlb/lab/sharing/record.py
@@ -16,14 +16,14 @@
 from pathlib import Path
 
 from ...clock import monotonic_us
-from ...policy.interface import Action, Event, Heard, ListUpdate, Shortage
+from ...policy.interface import Action, Event, ListUpdate, ProcessOverload, SharedStateUpdate
 from ...policy.logic import Balancer
 
 VARIABLE, SHORT = "ROADLB_SHARES", "ROADLB_SHORT"
 FAR = 1 << 61  # of the clock: when every lease is over
 
 
-def shares(module: Balancer, now: int, told: Heard, halls: int) -> dict[str, tuple[float, float]]:
+def shares(module: Balancer, now: int, told: SharedStateUpdate, halls: int) -> dict[str, tuple[float, float]]:
     """What the module may use of each budget, as it reckons itself: at once, and when leases are over; of
     rates, as it was told last."""
     held, found = module.shares, {}
@@ -31,21 +31,21 @@
     def of_rate(share: float | None) -> tuple[float, float]:
         if share is None:
             return (1 / held.parts,) * 2
-        least = min(share, told.floor)
-        return (least if 0 < told.until <= now else share), least
+        least = min(share, told.fallback_share)
+        return (least if 0 < told.lease_end_us <= now else share), least
 
-    for number in range(len(module.s.tenants)):
+    for number in range(len(module.settings.tenants)):
         found[f"customer {number}"] = 1 / held.of_quota(now, number), 1 / held.of_quota(FAR, number)
-    for server in module.list.servers.values():
-        if server.part(module.warmth, now) < 1:
-            found[f"{server.id.hex()} {server.born}"] = (
+    for server in module.servers.by_id.values():
+        if server.capacity_share_at(module.warmth, now) < 1:
+            found[f"{server.id.hex()} {server.started_us}"] = (
                 1 / held.of_cold(now, server.id),
                 1 / held.of_cold(FAR, server.id),
             )
-    if told.repeats_per_s:
-        found["repeats"] = of_rate(told.repeats)
+    if told.retries_per_s:
+        found["repeats"] = of_rate(told.retry_share)
     if told.dials_per_s:
-        found |= {f"dials {hall}": of_rate(told.dials.get(hall)) for hall in range(halls)}
+        found |= {f"dials {hall}": of_rate(told.dial_shares.get(hall)) for hall in range(halls)}
     return found
 
 
@@ -56,19 +56,19 @@
     file = os.open(Path(folder) / f"{name}.{monotonic_us()}.shares", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
     short = float(os.environ.get(SHORT, "0"))
     handle = Balancer.handle
-    last: Heard | None = None
+    last: SharedStateUpdate | None = None
 
     def watched(module: Balancer, now: int, event: Event) -> list[Action]:
         nonlocal last
-        if isinstance(event, Shortage):
-            event = Shortage(max(event.share, short))
-        if not isinstance(event, Heard | ListUpdate):
+        if isinstance(event, ProcessOverload):
+            event = ProcessOverload(max(event.share, short))
+        if not isinstance(event, SharedStateUpdate | ListUpdate):
             return handle(module, now, event)
-        pressed = handle(module, now, Shortage(short)) if short else []
+        pressed = handle(module, now, ProcessOverload(short)) if short else []
         at = monotonic_us()
         actions = [*pressed, *handle(module, now, event)]
         done = monotonic_us()
-        if isinstance(event, Heard):
+        if isinstance(event, SharedStateUpdate):
             last = event
         if last is None:
             return actions  # it serves nobody until it has heard of what its earlier life gave
@@ -76,7 +76,12 @@
             file,
             (
                 json.dumps(
-                    {"at": at, "done": done, "until": last.until, "shares": shares(module, done, last, halls)}
+                    {
+                        "at": at,
+                        "done": done,
+                        "until": last.lease_end_us,
+                        "shares": shares(module, done, last, halls),
+                    }
                 )
                 + "\n"
             ).encode(),
--- a/roadlb/net/sharing.py
+++ b/roadlb/net/sharing.py
@@ -1,4 +1,4 @@
-"""Runs one balancer's shared state: own outcomes and the module's view in, `Heard` and messages out.
+"""Runs one balancer's shared state: own outcomes and the module's view in, updates and messages out.
 
 Every PULSE_US the module is told first and others after it, so that what is given away is not used any more.
 """
@@ -16,7 +16,7 @@
 from ..engine import Engine
 from ..log import Limit, fields
 from ..membership.events import Kind, News, State
-from ..policy.interface import Heard, ServerId, Status
+from ..policy.interface import ServerId, SharedStateUpdate, Status
 from ..shared_state.budgets import Terms
 from ..shared_state.events import Agreed, Beside
 from ..shared_state.judgements import Trouble
@@ -48,7 +48,7 @@
         engine: Engine,
         counters: Counters,
         clock: Clock,
-        hear: Callable[[int, Heard], None],
+        hear: Callable[[int, SharedStateUpdate], None],
         names: Callable[[], Mapping[ServerId, str]],
     ) -> None:
         """`hear` takes what the module is to know, and in parts of how many balancers; `names`: what
@@ -147,10 +147,10 @@
                     self._peers.spread(action.kind, action.payload, action.most),
                 )
 
-    def _say(self, heard: Heard) -> None:
+    def _say(self, heard: SharedStateUpdate) -> None:
         """A line where a server begins or ceases to be avoided, a hall to answer nobody, a share to be other
         than an even part, and others' counts to be heard."""
-        avoided = set(heard.avoid)
+        avoided = set(heard.avoid_until)
         for server in avoided ^ self._avoided:
             on = server in avoided
             self._counters.add("shared.avoided" if on else "shared.taken_back")
@@ -158,17 +158,19 @@
                 "server judged", extra=fields(server=self._name(server), avoided="yes" if on else "no")
             )
         self._avoided = avoided
-        for hall in set(heard.silent) ^ self._silent:
-            on = hall in heard.silent
+        for hall in set(heard.unreachable_zones) ^ self._silent:
+            on = hall in heard.unreachable_zones
             self._counters.add("shared.hall_silent" if on else "shared.hall_heard")
             logger.info(
                 "hall judged",
                 extra=fields(hall=self._called("hall", hall), answers_others="no" if on else "yes"),
             )
-        self._silent = set(heard.silent)
-        apart: set[tuple[str, object]] = {("server", server) for server in heard.cold}
-        apart |= {("customer", number) for number in heard.quotas} | {("hall", n) for n in heard.dials}
-        apart |= {("repeats", 0)} if heard.repeats is not None else set()
+        self._silent = set(heard.unreachable_zones)
+        apart: set[tuple[str, object]] = {("server", server) for server in heard.slow_start_shares}
+        apart |= {("customer", number) for number in heard.quota_shares} | {
+            ("hall", n) for n in heard.dial_shares
+        }
+        apart |= {("repeats", 0)} if heard.retry_share is not None else set()
         for what, key in apart ^ self._apart:
             on = (what, key) in apart
             self._counters.add("shared.apart" if on else "shared.even")
--- a/roadlb/policy/change.py
+++ b/roadlb/policy/change.py
@@ -27,8 +27,8 @@
     new: Settings,
     classes: Sequence[ClassState],
     requests: Mapping[int, Request],
-    refusals: Refusals,
-    warmth: Warmth,
+    refusal_order: Refusals,
+    warm_up: Warmth,
     rebuild: Callable[[], None],
 ) -> list[Action]:
     """Make all that is kept under the settings `old` what it is under `new`.
@@ -36,24 +36,24 @@
     `rebuild` is called where capacities, or the order of keys' servers, follow from what has changed.
     """
     actions: list[Action] = []
-    places = {id(cls): place for place, cls in enumerate(classes)}
-    kept: dict[int, ClassState] = {}
-    for r in requests.values():
-        cls = r.cls
-        state = kept.get(id(cls))
+    class_indexes = {id(cls): class_index for class_index, cls in enumerate(classes)}
+    states: dict[int, ClassState] = {}
+    for request in requests.values():
+        cls = request.cls
+        state = states.get(id(cls))
         if state is None:
-            rule = new.classes[places[id(cls.of or cls)]]
-            state = kept[id(cls)] = _held(cls, rule)
+            rule = new.classes[class_indexes[id(cls.listed_class or cls)]]
+            state = states[id(cls)] = _state_of_open(cls, rule)
         if state is not cls:
-            r.cls = state
+            request.cls = state
             if state.spec.effect is Effect.UNSAFE and cls.spec.effect is not Effect.UNSAFE:
-                actions += _repeats(r)
-    for place, cls in enumerate(classes):
-        cls.spec = new.classes[place]
-    if _ranks(old) != _ranks(new):
-        refusals.begin(new.refusals)
-    warmth.grow(new.cold_from, new.cold_us)
-    if _orders(old) != _orders(new):
+                actions += _cancel_unsent_repeats(request)
+    for class_index, cls in enumerate(classes):
+        cls.spec = new.classes[class_index]
+    if _ranking_settings(old) != _ranking_settings(new):
+        refusal_order.begin(new.refusals)
+    warm_up.grow(new.cold_from, new.cold_us)
+    if _lookup_settings(old) != _lookup_settings(new):
         rebuild()
     return actions
 
@@ -68,36 +68,45 @@
     )
 
 
-def _held(cls: ClassState, rule: RequestClass) -> ClassState:
+def _state_of_open(cls: ClassState, rule: RequestClass) -> ClassState:
     """For the open requests of `cls`: itself, where the new rule is the one that they have already."""
     spec = stricter(cls.spec, rule)
-    if spec == cls.spec and (cls.of is not None or _allows(spec) == _allows(rule)):
+    if spec == cls.spec and (cls.listed_class is not None or _execution_rule(spec) == _execution_rule(rule)):
         return cls
-    held = ClassState(spec, cls.latency, cls.tail, cls.quickest, cls.of or cls)
-    held.least = cls.least
+    held = ClassState(spec, cls.latency_us, cls.tail_us, cls.min_latency_us, cls.listed_class or cls)
+    held.base_latency_us = cls.base_latency_us
     return held
 
 
-def _allows(spec: RequestClass) -> tuple[int, int, int]:
+def _execution_rule(spec: RequestClass) -> tuple[int, int, int]:
     return spec.effect, spec.group, spec.window_us
 
 
-def _repeats(r: Request) -> list[Action]:
+def _cancel_unsent_repeats(request: Request) -> list[Action]:
     """A repeat that waits for its connection is called off: it would reach a server from now on."""
-    first = r.first()
+    first = request.earliest_run()
     return (
         []
-        if r.closed
-        else [Cancel(r.id, n, unsent=True) for n, a in enumerate(r.attempts) if a.open and a is not first]
+        if request.closed
+        else [
+            Cancel(request.id, n, unsent=True)
+            for n, attempt in enumerate(request.attempts)
+            if attempt.is_open and attempt is not first
+        ]
     )
 
 
-def withdraw(requests: Iterable[Request]) -> list[Action]:
+def cancel_unsent_to_drained(requests: Iterable[Request]) -> list[Action]:
     """Attempts that still wait for their dial to a server that is no longer ready would reach it too late."""
-    return [Cancel(r.id, n, unsent=True) for r in requests for n, a in r.out() if not a.server.up]
+    return [
+        Cancel(request.id, n, unsent=True)
+        for request in requests
+        for n, attempt in request.open_uncancelled()
+        if not attempt.server.is_ready
+    ]
 
 
-def _ranks(settings: Settings) -> object:
+def _ranking_settings(settings: Settings) -> object:
     """What the ranks of refusals follow from."""
     return (
         [c.worth for c in settings.classes],
@@ -108,6 +117,6 @@
     )
 
 
-def _orders(settings: Settings) -> object:
+def _lookup_settings(settings: Settings) -> object:
     """What `rebuild` reads."""
     return settings.cross_zone_cost > 0, settings.cold_from, settings.cold_us
--- a/roadlb/policy/interface.py
+++ b/roadlb/policy/interface.py
@@ -122,15 +122,15 @@
     keep_us: int = 0  # for so long a connection to a server is kept idle; 0: not known
 
     @property
-    def dialling(self) -> bool:
+    def dials_cost(self) -> bool:
         """Does a new connection to a server cost something?"""
         return self.handshake_cost > 0 and self.keep_us > 0
 
     @property
-    def queue_field(self) -> int:
+    def queue_index(self) -> int:
         """Where in `report_fields` a queue is told; -1: nowhere."""
-        queue = [i for i, name in enumerate(self.report_fields) if name in ("queue", "inflight")]
-        return queue[0] if queue and self.report_source != "off" else -1
+        indexes = [i for i, name in enumerate(self.report_fields) if name in ("queue", "inflight")]
+        return indexes[0] if indexes and self.report_source != "off" else -1
 
     def check(self) -> None:
         """Raise ValueError, naming the setting, where a value makes no sense."""
@@ -195,7 +195,7 @@
     left_us: int  # until the client gives this try up
     work_us: int  # expected work; 0: no hint
     is_retry: bool = False
-    coming: bool = False  # its body still comes: the attempt begins with `BodyWhole`
+    coming: bool = False  # its body still comes: the attempt begins with `BodyComplete`
 
     def __init__(
         self,
@@ -214,7 +214,7 @@
 
 
 @dataclass(slots=True, init=False)
-class Offer:
+class AdmissionCheck:
     """A request's head has come, its body has not: would it be refused now?
 
     Answered by `[Refuse(0, retry_after_us)]`, after which it must not arrive, or by `[]`.  Fields are those
@@ -236,7 +236,7 @@
 
 
 @dataclass(slots=True)
-class BodyWhole:
+class BodyComplete:
     """The last byte of a request that was `coming` has come; `left_us`, in microseconds, counts from now."""
 
     request: int
@@ -244,7 +244,7 @@
 
 
 @dataclass(slots=True)
-class Shortage:
+class ProcessOverload:
     """This process is short of its own means, such as CPU time.
 
     `share`, 0..0.95, of the work asked for is to be refused at the least, what is worth least first.  It
@@ -255,14 +255,14 @@
 
 
 @dataclass(slots=True)
-class Twins:
+class ProcessCount:
     """So many processes, this one among them, are one instance now: what an instance may do is divided."""
 
     count: int
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class SharedStateUpdate:
     """Figures that balancers share, and this one could also have had alone; each holds until the next event.
 
     `parts`: among so many balancers, this process among them, is divided what all together may do; it stands
@@ -275,7 +275,7 @@
     event leaves out stays as it is till its time.
     `pressure`, 0..1: the shortage that all see, and `lean`, 0..1, the part of it that counts beside the rest
     of this one's own; 1: in place of it.  From `stale` on, a clock time (0: never), the own holds alone, as
-    it does for None.  A process's shortage of its own means, `Shortage`, counts beside either.
+    it does for None.  A process's shortage of its own means, `ProcessOverload`, counts beside either.
 
     `until`: at this clock time a lease ends; from then on no share in `cold` and `quotas` counts for more
     than `floor`, as a process that was stopped takes requests before it is told anything.  0: they hold.
@@ -298,26 +298,26 @@
     `passed`.
     """
 
-    parts: int = 0
-    cold: Mapping[ServerId, float] = field(default_factory=dict)
-    quotas: Mapping[int, float] = field(default_factory=dict)
-    avoid: Mapping[ServerId, int] = field(default_factory=dict)
-    pressure: float | None = None
-    until: int = 0
-    floor: float = 1.0
-    rest: float = 1.0
-    wholes: Mapping[int, float] = field(default_factory=dict)
-    repeats_per_s: float = 0.0
-    repeats: float | None = None
+    process_count: int = 0
+    slow_start_shares: Mapping[ServerId, float] = field(default_factory=dict)
+    quota_shares: Mapping[int, float] = field(default_factory=dict)
+    avoid_until: Mapping[ServerId, int] = field(default_factory=dict)
+    fleet_shortage: float | None = None
+    lease_end_us: int = 0
+    fallback_share: float = 1.0
+    max_unlisted_share: float = 1.0
+    quota_factors: Mapping[int, float] = field(default_factory=dict)
+    retries_per_s: float = 0.0
+    retry_share: float | None = None
     dials_per_s: float = 0.0
-    dials: Mapping[int, float] = field(default_factory=dict)
-    silent: Mapping[int, tuple[int, int]] = field(default_factory=dict)
-    lean: float = 1.0
-    stale: int = 0
+    dial_shares: Mapping[int, float] = field(default_factory=dict)
+    unreachable_zones: Mapping[int, tuple[int, int]] = field(default_factory=dict)
+    fleet_shortage_weight: float = 1.0
+    fleet_shortage_until: int = 0
 
 
 @dataclass(slots=True)
-class Changed:
+class SettingsChanged:
     """These settings hold from now on, for the requests that are open as well.
 
     Classes and customers are those of the start, in their order, with the same aims; so are `instances`, the
@@ -333,7 +333,7 @@
 
 
 @dataclass(slots=True)
-class SiteWord:
+class SiteOverride:
     """An operator's word on a hall, by its number: nothing new goes there, or it takes load again, in
     steps."""
 
@@ -403,27 +403,27 @@
 
 
 @dataclass(slots=True)
-class Report:
+class ViewQuery:
     """Asks for a `View`.  It has no effect on any decision, now or later."""
 
 
 Event: TypeAlias = (
     ListUpdate
     | Arrival
-    | BodyWhole
-    | Offer
-    | Shortage
-    | Twins
-    | Heard
-    | Changed
-    | SiteWord
+    | BodyComplete
+    | AdmissionCheck
+    | ProcessOverload
+    | ProcessCount
+    | SharedStateUpdate
+    | SettingsChanged
+    | SiteOverride
     | Outcome
     | StreamStarted
     | ClientGone
     | TimerFired
     | Probed
     | PeerMessage
-    | Report
+    | ViewQuery
 )
 
 
@@ -512,7 +512,7 @@
     suspect: bool
     load: float
     born_us: int = 0
-    passed: int = 0
+    rejected_count: int = 0
     site: int = -1
 
 
@@ -526,9 +526,9 @@
     servers: list[ServerView]
     sites: list[SiteView] = field(default_factory=list)
     shortage: float = 0.0
-    asked: tuple[float, ...] = ()
-    repeats_held: int = 0
-    dials_held: Mapping[int, int] = field(default_factory=dict)
+    tenant_rates_per_s: tuple[float, ...] = ()
+    rejected_retries: int = 0
+    rejected_dials: Mapping[int, int] = field(default_factory=dict)
 
 
 Action: TypeAlias = Send | Refuse | Fail | Cancel | SetTimer | Subscribe | Probe | Log | View
--- a/roadlb/policy/slow_start.py
+++ b/roadlb/policy/slow_start.py
@@ -16,98 +16,102 @@
 from .server_list import ServerList
 from .state import Attempt, Server
 
-LATEST = 0.25  # the part that the last second has in the mean of what is carried
+LATEST_SECOND_WEIGHT = 0.25  # the part that the last second has in the mean of what is carried
 
 
 class SlowStart:
     """One balancer's accounts of the work that it sends."""
 
     __slots__ = (
-        "_at",
-        "_known_warm",
-        "_sent",
-        "_sent_warm",
-        "_warm",
-        "_warm_us",
-        "carried",
-        "carries",
-        "mean",
+        "_has_seen_warm",
+        "_sent_work",
+        "_sent_work_warm",
+        "_updated_us",
+        "_warm_capacity",
+        "_warm_capacity_us",
+        "mean_work",
         "pace",
+        "work_per_capacity_s",
+        "work_per_s",
     )
 
     def __init__(self) -> None:
-        self._sent = 0.0  # work, in this second
-        self._sent_warm = 0.0  # of it, to warm servers
-        self._warm = 0.0  # their capacity, since `_at`
-        self._at = 0
-        self._warm_us = 0.0  # capacity times its time, in this second till then
-        self._known_warm = False  # has there been any yet?
-        self.carried = 0.0  # work a second that this balancer sends, in the mean of late
-        self.carries = 0.0  # the same for a capacity of 1
-        self.mean = 0.0  # work of one request, in the mean of late
+        self._sent_work = 0.0  # work, in this second
+        self._sent_work_warm = 0.0  # of it, to warm servers
+        self._warm_capacity = 0.0  # their capacity, since `_at`
+        self._updated_us = 0
+        self._warm_capacity_us = 0.0  # capacity times its time, in this second till then
+        self._has_seen_warm = False  # has there been any yet?
+        self.work_per_s = 0.0  # work a second that this balancer sends, in the mean of late
+        self.work_per_capacity_s = 0.0  # the same for a capacity of 1
+        self.mean_work = 0.0  # work of one request, in the mean of late
         self.pace = Pace()  # of cold servers
 
-    def has(self, now: int, warm: float) -> None:
+    def set_warm_capacity(self, now: int, warm_capacity: float) -> None:
         """From now on warm servers have this capacity."""
-        self._warm_us += self._warm * (now - self._at)
-        self._at = now
-        self._warm = warm
+        self._warm_capacity_us += self._warm_capacity * (now - self._updated_us)
+        self._updated_us = now
+        self._warm_capacity = warm_capacity
 
-    def tick(self, now: int, warm: float, capacity: float) -> None:
+    def tick(self, now: int, warm_capacity: float, capacity: float) -> None:
         """Once a second: capacities of warm servers and of all."""
-        self.has(now, warm)
+        self.set_warm_capacity(now, warm_capacity)
         self.pace.fade()
-        self.carried += (self._sent - self.carried) * LATEST
-        if self._warm_us > 0:
-            self._known_warm = True
-            self.carries += (self._sent_warm / self._warm_us * 1e6 - self.carries) * LATEST
-        elif not self._known_warm:
-            self.carries = self.carried / capacity
-        self._sent = 0.0
-        self._sent_warm = 0.0
-        self._warm_us = 0.0
+        self.work_per_s += (self._sent_work - self.work_per_s) * LATEST_SECOND_WEIGHT
+        if self._warm_capacity_us > 0:
+            self._has_seen_warm = True
+            self.work_per_capacity_s += (
+                self._sent_work_warm / self._warm_capacity_us * 1e6 - self.work_per_capacity_s
+            ) * LATEST_SECOND_WEIGHT
+        elif not self._has_seen_warm:
+            self.work_per_capacity_s = self.work_per_s / capacity
+        self._sent_work = 0.0
+        self._sent_work_warm = 0.0
+        self._warm_capacity_us = 0.0
 
-    def sent(self, s: Server, work: float) -> None:
+    def record_sent(self, server: Server, work: float) -> None:
         """An attempt goes to this server."""
-        self._sent += work
-        self.mean += (work - self.mean) * (0.02 if self.mean else 1.0)
-        if s.share < 1:
-            s.cold.spend(work)
+        self._sent_work += work
+        self.mean_work += (work - self.mean_work) * (0.02 if self.mean_work else 1.0)
+        if server.share < 1:
+            server.budget.spend(work)
         else:
-            self._sent_warm += work
+            self._sent_work_warm += work
 
-    def began(self, now: int, a: Attempt) -> None:
+    def record_begun(self, now: int, attempt: Attempt) -> None:
         """The server can begin with it now."""
-        if a.server.share < 1:
-            a.held = a.server.weight * a.server.share
-            self.pace.hold(now, a.held)
+        if attempt.server.share < 1:
+            attempt.slow_start_capacity = attempt.server.weight * attempt.server.share
+            self.pace.hold(now, attempt.slow_start_capacity)
 
-    def ended(self, now: int, a: Attempt, work: float, answered: bool) -> None:
+    def record_ended(self, now: int, attempt: Attempt, work: float, answered: bool) -> None:
         """It is over; `answered`: well."""
-        if a.held:
-            self.pace.hold(now, -a.held)
+        if attempt.slow_start_capacity:
+            self.pace.hold(now, -attempt.slow_start_capacity)
             if answered:
                 self.pace.did(work)
 
-    def room(
+    def remaining(
         self,
         now: int,
-        s: Server,
+        server: Server,
         work: float,
-        servers: ServerList,
+        server_list: ServerList,
         shares: Shares,
         settings: Settings,
         chance: Callable[[], float],
     ) -> float:
         """What is left of this balancer's part of a cold server's budget, in work."""
-        carries = (
-            s.share * s.weight * max(self.carries * shares.alike, servers.cold_part * self.pace.least(now))
+        capacity_per_s = (
+            server.share
+            * server.weight
+            * max(self.work_per_capacity_s * shares.alike, server_list.slow_start_part * self.pace.least(now))
         )
-        return s.cold.room(
+        return server.budget.room(
             now,
-            carries,
-            shares.of_cold(now, s.id),
-            self.mean or work,
+            capacity_per_s,
+            shares.of_cold(now, server.id),
+            self.mean_work or work,
             settings.fall_multiple,
             settings.fall_us,
             work,
--- a/roadlb/policy/state.py
+++ b/roadlb/policy/state.py
@@ -12,8 +12,8 @@
 from ..sites.work_in_hand import WorkInHand
 from .interface import Effect, RequestClass, ServerId, ServerView, SetTimer
 
-TAU_US = 2_000_000  # memory of a server's mean load
-SLOT_US = 5_000  # a note is read so much late at the most
+LOAD_MEMORY_US = 2_000_000  # memory of a server's mean load
+TIMER_SLOT_US = 5_000  # a note is read so much late at the most
 
 
 @dataclass(slots=True, eq=False)
@@ -21,68 +21,78 @@
     """What this node knows of one server; how it stands with it is its `Standing`."""
 
     id: ServerId
-    born: int = 0  # clock time of its last start; 0: long ago
-    at: int = 0  # when `mean` was last brought up to date
+    started_us: int = 0  # clock time of its last start; 0: long ago
+    mean_updated_us: int = 0  # when `mean` was last brought up to date
     cell: int = 0
     zone: int = 0
     weight: float = 1.0  # its size against the others'
-    up: bool = True  # listed as ready
+    is_ready: bool = True  # listed as ready
     share: float = 1.0  # the part of its capacity that it has by now, at the least
-    inverse: float = 1.0  # 1 / (weight x share)
-    out: int = 0  # own attempts in flight
-    mean: float = 0.0  # the same on the mean of late
-    queue: float = 0.0  # this node's part of a reported queue, when it was reported
-    queue_at: int = 0
-    told: float = 0.0  # the whole of that queue
-    cold: ColdBudget = field(default_factory=ColdBudget)
-    rested: list[int] = field(default_factory=list)  # when each connection that idles there came to rest
+    inverse_capacity: float = 1.0  # 1 / (weight x share)
+    in_flight: int = 0  # own attempts in flight
+    mean_in_flight: float = 0.0  # the same on the mean of late
+    queue_share: float = 0.0  # this node's part of a reported queue, when it was reported
+    reported_us: int = 0
+    queue: float = 0.0  # the whole of that queue
+    budget: ColdBudget = field(default_factory=ColdBudget)
+    idle_since_us: list[int] = field(
+        default_factory=list
+    )  # when each connection that idles there came to rest
     hash: int = field(init=False)
 
     def __post_init__(self) -> None:
         self.hash = mix(int.from_bytes(self.id, "big")) & HASH
 
-    def part(self, warmth: Warmth, now: int) -> float:
+    def capacity_share_at(self, warmth: Warmth, now: int) -> float:
         """The least part of its capacity that it can have by now."""
-        return warmth.part(now, self.zone, self.born)
+        return warmth.part(now, self.zone, self.started_us)
 
     def load(self, now: int, aim_us: int) -> float:
         """Own requests in flight, now and on the mean of late, for the capacity; plus a reported queue."""
-        dt = now - self.at
-        if dt > 0:
-            self.mean += (self.out - self.mean) * dt / (dt + TAU_US)
-            self.at = now
-        if self.queue:  # it has been worked off since, though nothing was sent there that would tell
-            age = (now - self.queue_at) / aim_us
-            return (self.mean + self.out + self.queue / (1 + age * age)) * self.inverse
-        return (self.mean + self.out) * self.inverse
-
-    def waiting(self, now: int, aim_us: int) -> float:
+        elapsed_us = now - self.mean_updated_us
+        if elapsed_us > 0:
+            self.mean_in_flight += (
+                (self.in_flight - self.mean_in_flight) * elapsed_us / (elapsed_us + LOAD_MEMORY_US)
+            )
+            self.mean_updated_us = now
+        if self.queue_share:  # it has been worked off since, though nothing was sent there that would tell
+            age_aims = (now - self.reported_us) / aim_us
+            return (
+                self.mean_in_flight + self.in_flight + self.queue_share / (1 + age_aims * age_aims)
+            ) * self.inverse_capacity
+        return (self.mean_in_flight + self.in_flight) * self.inverse_capacity
+
+    def reported_load(self, now: int, aim_us: int) -> float:
         """Of the requests that it reported, those still there, for the capacity."""
-        age = (now - self.queue_at) / aim_us
-        return self.told / (1 + age * age) * self.inverse
+        age_aims = (now - self.reported_us) / aim_us
+        return self.queue / (1 + age_aims * age_aims) * self.inverse_capacity
 
     def view(self, now: int, share: float, patience_us: int) -> ServerView:
         """What is believed of it, which has this part of its capacity by now."""
-        passed = max(0, now - self.at)
-        mean = self.mean + (self.out - self.mean) * passed / (passed + TAU_US)
+        elapsed_us = max(0, now - self.mean_updated_us)
+        mean_in_flight = self.mean_in_flight + (self.in_flight - self.mean_in_flight) * elapsed_us / (
+            elapsed_us + LOAD_MEMORY_US
+        )
         return ServerView(
             self.id,
-            self.up and self.eligible(now, self.out, patience_us),
+            self.is_ready and self.eligible(now, self.in_flight, patience_us),
             share,
             self.eject_until > 0,
             self.suspect(now),
-            (mean + self.out) / (self.weight * share),
-            self.born,
-            self.cold.passed,
+            (mean_in_flight + self.in_flight) / (self.weight * share),
+            self.started_us,
+            self.budget.passed,
             self.zone,
         )
 
-    def connected(self, now: int, keep: int) -> bool:
+    def is_connected(self, now: int, keep_us: int) -> bool:
         """Does a connection idle there that a request could take, where each is kept for `keep` us?"""
-        rested = self.rested
-        while rested and now - rested[0] > keep:  # the longest idle ends first; the last is taken first
-            del rested[0]
-        return bool(rested)
+        idle_since_us = self.idle_since_us
+        while (
+            idle_since_us and now - idle_since_us[0] > keep_us
+        ):  # the longest idle ends first; the last is taken first
+            del idle_since_us[0]
+        return bool(idle_since_us)
 
 
 @dataclass(slots=True, eq=False)
@@ -90,36 +100,38 @@
     """A class of request with what its answers have taken of late."""
 
     spec: RequestClass
-    latency: float
-    tail: float  # about the ninetieth percentile
-    quickest: int = -1  # of all its good answers; -1 before the first
-    of: ClassState | None = None  # requests that keep a former rule of this class
-    least: float = field(init=False)  # the least that `latency` has been: its work, against other classes
+    latency_us: float
+    tail_us: float  # about the ninetieth percentile
+    min_latency_us: int = -1  # of all its good answers; -1 before the first
+    listed_class: ClassState | None = None  # requests that keep a former rule of this class
+    base_latency_us: float = field(
+        init=False
+    )  # the least that `latency` has been: its work, against other classes
 
     def __post_init__(self) -> None:
-        self.least = self.latency
+        self.base_latency_us = self.latency_us
 
-    def took(self, latency: int) -> None:
+    def record_latency(self, took_us: int) -> None:
         """A good answer took so long."""
-        self.quickest = latency if self.quickest < 0 else min(latency, self.quickest)
-        self.latency += (latency - self.latency) * 0.02
-        self.least = min(self.least, self.latency)
-        self.tail = max(
-            self.latency, self.tail + self.latency * 0.05 * (0.9 if latency > self.tail else -0.1)
+        self.min_latency_us = took_us if self.min_latency_us < 0 else min(took_us, self.min_latency_us)
+        self.latency_us += (took_us - self.latency_us) * 0.02
+        self.base_latency_us = min(self.base_latency_us, self.latency_us)
+        self.tail_us = max(
+            self.latency_us, self.tail_us + self.latency_us * 0.05 * (0.9 if took_us > self.tail_us else -0.1)
         )
 
 
 class Attempt:
     """One send of a request to a server, at clock time `sent`."""
 
-    __slots__ = ("called_off", "held", "open", "ran", "sent", "server")
+    __slots__ = ("cancelled", "is_open", "may_have_run", "sent_us", "server", "slow_start_capacity")
 
-    def __init__(self, server: Server, sent: int) -> None:
-        self.server, self.sent = server, sent
-        self.open = True
-        self.called_off = False
-        self.held = 0.0  # of the capacity of cold servers
-        self.ran = True  # it may have; taken back by an outcome that proves that it did not
+    def __init__(self, server: Server, sent_us: int) -> None:
+        self.server, self.sent_us = server, sent_us
+        self.is_open = True
+        self.cancelled = False
+        self.slow_start_capacity = 0.0  # of the capacity of cold servers
+        self.may_have_run = True  # it may have; taken back by an outcome that proves that it did not
 
 
 class Request:
@@ -127,69 +139,80 @@
 
     __slots__ = (
         "attempts",
-        "bold",
         "closed",
         "cls",
-        "coming",
-        "due",
-        "held",
+        "deadline_at_us",
+        "due_us",
         "id",
+        "in_progress",
+        "is_late",
+        "is_order",
         "key",
-        "late",
-        "open",
-        "order",
-        "site",
-        "spare",
+        "last_resort",
+        "only_site",
+        "open_attempts",
+        "spare_only",
         "streaming",
-        "until",
-        "work",
+        "uploading",
+        "work_us",
     )
 
     def __init__(
-        self, id: int, cls: ClassState, key: int, work: int, until: int, due: int, coming: bool = False
+        self,
+        id: int,
+        cls: ClassState,
+        key: int,
+        work_us: int,
+        deadline_at_us: int,
+        due_us: int,
+        uploading: bool = False,
     ) -> None:
-        self.coming = coming  # no server has begun with it, as its body still comes
-        self.id, self.cls, self.key, self.work = id, cls, key, work
-        self.order = cls.spec.effect is not Effect.SAFE  # it may not be repeated at will
-        self.until = until  # the client gives this try up then
-        self.due = due  # the answer is wanted by then
+        self.uploading = uploading  # no server has begun with it, as its body still comes
+        self.id, self.cls, self.key, self.work_us = id, cls, key, work_us
+        self.is_order = cls.spec.effect is not Effect.SAFE  # it may not be repeated at will
+        self.deadline_at_us = deadline_at_us  # the client gives this try up then
+        self.due_us = due_us  # the answer is wanted by then
         self.attempts: list[Attempt] = []
-        self.open = 0  # attempts in flight
+        self.open_attempts = 0  # attempts in flight
         self.closed = self.streaming = False
-        self.late = False  # not answered when due
-        self.site = -1  # it goes to this one or nowhere: no other has room for it
-        self.spare = False  # it goes to a server that gets less than it could, or nowhere
-        self.held = False  # counts as work in hand
-        self.bold = False  # may go to a suspect server, as there is no other
+        self.is_late = False  # not answered when due
+        self.only_site = -1  # it goes to this one or nowhere: no other has room for it
+        self.spare_only = False  # it goes to a server that gets less than it could, or nowhere
+        self.in_progress = False  # counts as work in hand
+        self.last_resort = False  # may go to a suspect server, as there is no other
 
-    def out(self, but: int = -1) -> list[tuple[int, Attempt]]:
+    def open_uncancelled(self, except_attempt: int = -1) -> list[tuple[int, Attempt]]:
         """The attempts in flight that are not called off, by number, except one."""
-        return [(n, a) for n, a in enumerate(self.attempts) if a.open and not a.called_off and n != but]
+        return [
+            (n, attempt)
+            for n, attempt in enumerate(self.attempts)
+            if attempt.is_open and not attempt.cancelled and n != except_attempt
+        ]
 
-    def hold(self, now: int, hand: WorkInHand) -> None:
+    def start_progress(self, now: int, in_flight_load: WorkInHand) -> None:
         """It is in work now, till it is let go: answered, given up, or late."""
-        self.held = True
-        hand.began(now, self.cls.spec.aim_us)
+        self.in_progress = True
+        in_flight_load.began(now, self.cls.spec.aim_us)
 
-    def let_go(self, now: int, hand: WorkInHand) -> None:
-        if self.held:
-            self.held = False
-            hand.ended(now, self.cls.spec.aim_us)
+    def end_progress(self, now: int, in_flight_load: WorkInHand) -> None:
+        if self.in_progress:
+            self.in_progress = False
+            in_flight_load.ended(now, self.cls.spec.aim_us)
 
     def write_by_us(self) -> int:
         """A repeat has to reach its server while what may have run is remembered; 0: at any time."""
-        first = self.first() if self.attempts and self.cls.spec.effect is Effect.KEYED else None
-        return first.sent + self.cls.spec.window_us if first else 0
+        first = self.earliest_run() if self.attempts and self.cls.spec.effect is Effect.KEYED else None
+        return first.sent_us + self.cls.spec.window_us if first else 0
 
-    def first(self) -> Attempt | None:
+    def earliest_run(self) -> Attempt | None:
         """The earliest attempt that may have run, or may be running."""
-        for a in self.attempts:
-            if a.ran:
-                return a
+        for attempt in self.attempts:
+            if attempt.may_have_run:
+                return attempt
         return None
 
 
-class Notes:
+class TimerSlots:
     """A timer wheel; a slot costs one timer, whatever it holds."""
 
     __slots__ = ("_slots",)
@@ -197,16 +220,16 @@
     def __init__(self) -> None:
         self._slots: dict[int, list[int]] = {}
 
-    def put(self, at: int, note: int) -> SetTimer | None:
+    def schedule(self, at: int, note: int) -> SetTimer | None:
         """Keep a note until clock time `at`; the timer to set for it, if none is set for its slot yet."""
-        slot = at // SLOT_US + 1
+        slot = at // TIMER_SLOT_US + 1
         notes = self._slots.get(slot)
         if notes is not None:
             notes.append(note)
             return None
         self._slots[slot] = [note]
-        return SetTimer(slot * SLOT_US, slot)
+        return SetTimer(slot * TIMER_SLOT_US, slot)
 
-    def take(self, token: int) -> Sequence[int]:
+    def pop(self, token: int) -> Sequence[int]:
         """The notes of the timer with this token, which has fired, in their order."""
         return self._slots.pop(token, ())
--- a/roadlb/routing/key_sets.py
+++ b/roadlb/routing/key_sets.py
@@ -29,12 +29,12 @@
 class Member(Protocol):
     """What a set must know of a server: its size, and what is in hand there for that size."""
 
-    up: bool
-    inverse: float
+    is_ready: bool
+    inverse_capacity: float
 
     def load(self, now: int, aim_us: int) -> float: ...
 
-    def waiting(self, now: int, aim_us: int) -> float: ...
+    def reported_load(self, now: int, aim_us: int) -> float: ...
 
 
 S = TypeVar("S", bound=Member)
@@ -82,19 +82,19 @@
             found = KeySet()
         self._sets[key] = found
         if found.version != version:
-            found.members = [s for s in found.members if s.up]
+            found.members = [s for s in found.members if s.is_ready]
             found.order = self._order(key, min(ORDER_MOST, max(ORDER, len(found.members))))
             found.version = version
         return found
 
     def low(self, server: S, mean: float) -> float:
         """T_low of a server, where the fleet's mean load is this."""
-        return LOW * mean + FLOOR * server.inverse / 2
+        return LOW * mean + FLOOR * server.inverse_capacity / 2
 
     def suffices(self, now: int, aim_us: int, best: S, mean: float, found: KeySet[S]) -> bool:
         """Does the best member take the request with no look at others?  A set that is too large shrinks."""
         load = best.load(now, aim_us)
-        if load > HIGH * mean + FLOOR * best.inverse or self.crowded(now, aim_us, best):
+        if load > HIGH * mean + FLOOR * best.inverse_capacity or self.crowded(now, aim_us, best):
             return False
         if len(found.members) > 1 and now - found.grown > SHRINK_US:
             found.grown = now
@@ -104,7 +104,7 @@
 
     def crowded(self, now: int, aim_us: int, server: S) -> bool:
         """Does it report clearly more waiting than others do?"""
-        return server.waiting(now, aim_us) > HIGH * self.waiting + CROWD * server.inverse
+        return server.reported_load(now, aim_us) > HIGH * self.waiting + CROWD * server.inverse_capacity
 
     def more(self, key: int, found: KeySet[S]) -> Sequence[S]:
         """Those of the key's order that may join."""
@@ -116,10 +116,12 @@
         """Is the other so much better off than the best member that it joins?"""
         if other is None:
             return False
-        if self.crowded(now, aim_us, best) and 2 * other.waiting(now, aim_us) < best.waiting(now, aim_us):
+        if self.crowded(now, aim_us, best) and 2 * other.reported_load(now, aim_us) < best.reported_load(
+            now, aim_us
+        ):
             return True
         load, least = best.load(now, aim_us), other.load(now, aim_us)
-        high = HIGH * mean + FLOOR * best.inverse
+        high = HIGH * mean + FLOOR * best.inverse_capacity
         return load > high and (least <= self.low(other, mean) or load >= max(2 * high, least))
 
     def told(self, waiting: Sequence[float]) -> None:
--- a/roadlb/routing/shares.py
+++ b/roadlb/routing/shares.py
@@ -88,7 +88,7 @@
         lean: float = 1.0,
         stale: int = 0,
     ) -> None:
-        """`roadlb.policy.interface.Heard` has what each means."""
+        """`roadlb.policy.interface.SharedStateUpdate` has what each means."""
         self._settle(now)
         self._told, self.alike = parts, parts or self._instances
         self.parts = parts or self._instances * self._twins
@@ -131,7 +131,7 @@
         dials_per_s: float,
         dials: Mapping[int, float],
     ) -> None:
-        """The rest of `Heard`, told after the other figures."""
+        """The rest of `SharedStateUpdate`, told after the other figures."""
         if not self.repeats_per_s:
             self._repeated = Tokens(now)
         self.rest, self.bounded = rest, repeats_per_s > 0 or dials_per_s > 0
--- a/roadlb/shared_state/merged.py
+++ b/roadlb/shared_state/merged.py
@@ -1,4 +1,4 @@
-"""One `Heard` out of two sources: what agreed versions say of the whole, and what of it is this balancer's.
+"""One `SharedStateUpdate` of two sources: what agreed versions say of the whole, and what is this balancer's.
 
     figure                             from       when its lease is over
     `parts`, `wholes`                  versions   the source tells its floor's (`agreement.Follower.used`)
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, replace
 from typing import TypeAlias, TypeVar
 
-from ..policy.interface import Heard
+from ..policy.interface import SharedStateUpdate
 from .events import Agreed, Beside
 
 K = TypeVar("K")
@@ -28,7 +28,7 @@
 class FromVersions:
     """What holds of the settings; of `heard` only `parts` and `wholes` count."""
 
-    heard: Heard
+    heard: SharedStateUpdate
 
 
 @dataclass(slots=True, frozen=True)
@@ -36,18 +36,18 @@
     """What this balancer shares with others, in parts of `instances`."""
 
     instances: int
-    heard: Heard
+    heard: SharedStateUpdate
 
 
 Event: TypeAlias = FromVersions | FromShares | Beside
-Action: TypeAlias = Heard | Agreed
+Action: TypeAlias = SharedStateUpdate | Agreed
 
 
 class Merged:
     """`handle(now, event) -> list of Heard, for the module, and Agreed, for the shares`, in this order."""
 
     def __init__(self) -> None:
-        self._versions, self._shares, self._twins = Heard(), FromShares(0, Heard()), 1
+        self._versions, self._shares, self._twins = SharedStateUpdate(), FromShares(0, SharedStateUpdate()), 1
         self._agreed = Agreed(0, {})  # as the shares were told last
 
     def handle(self, now: int, event: Event) -> list[Action]:
@@ -59,23 +59,23 @@
             return [self._heard()]
         self._versions = event.heard
         actions: list[Action] = [self._heard()]
-        agreed = Agreed(event.heard.parts // self._twins, event.heard.wholes)
+        agreed = Agreed(event.heard.process_count // self._twins, event.heard.quota_factors)
         if agreed != self._agreed:
             self._agreed = agreed
             actions.append(agreed)
         return actions
 
-    def _heard(self) -> Heard:
+    def _heard(self) -> SharedStateUpdate:
         versions, shares = self._versions, self._shares.heard
-        heard = replace(shares, parts=versions.parts, wholes=versions.wholes)
-        if versions.parts and self._shares.instances != versions.parts // self._twins:
-            even = 1 / versions.parts
+        heard = replace(shares, process_count=versions.process_count, quota_factors=versions.quota_factors)
+        if versions.process_count and self._shares.instances != versions.process_count // self._twins:
+            even = 1 / versions.process_count
             heard = replace(
                 heard,
-                cold=_at_most(shares.cold, even),
-                quotas=_at_most(shares.quotas, even),
-                dials=_at_most(shares.dials, even),
-                repeats=None if shares.repeats is None else min(shares.repeats, even),
+                slow_start_shares=_at_most(shares.slow_start_shares, even),
+                quota_shares=_at_most(shares.quota_shares, even),
+                dial_shares=_at_most(shares.dial_shares, even),
+                retry_share=None if shares.retry_share is None else min(shares.retry_share, even),
             )
         return heard
 
--- a/roadlb/shared_state/told.py
+++ b/roadlb/shared_state/told.py
@@ -1,4 +1,5 @@
-"""Puts together what balancers share: from members, own outcomes and others' messages to one `Heard`.
+"""Puts together what balancers share: from members, own outcomes and others' messages to one
+`SharedStateUpdate`.
 
     handle(now, event) -> list of Hear, Post and Spread, to be carried out in this order
 
@@ -21,7 +22,7 @@
 from typing import Any, TypeAlias
 
 from ..membership.events import Kind
-from ..policy.interface import Heard, ServerId, View
+from ..policy.interface import ServerId, SharedStateUpdate, View
 from ..sites.events import State
 from .budgets import Budgets, Terms
 from .counts import SHORT, Counted, Counts
@@ -101,7 +102,7 @@
 class Hear:
     """Tell the module."""
 
-    event: Heard
+    event: SharedStateUpdate
 
 
 @dataclass(slots=True, frozen=True)
@@ -127,7 +128,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """What all may do together, a second, as `Heard` has it; `halls`: their names, by number."""
+    """What all may do together, a second, as `SharedStateUpdate` has it; `halls`: their names, by number."""
 
     repeats_per_s: float = 0.0
     dials_per_s: float = 0.0
@@ -303,15 +304,17 @@
         self._cold = cold
         for s in view.servers:
             if s.share < 1:
-                grow(self._cold[s.server], s.passed, float(self.terms.part))
+                grow(self._cold[s.server], s.rejected_count, float(self.terms.part))
         if self._bounds.repeats_per_s:
-            grow(self._repeats, view.repeats_held, 0.0)
+            grow(self._repeats, view.rejected_retries, 0.0)
         if self._bounds.dials_per_s:
             for hall in view.sites:  # one that has left may be listed again before a gift ends
                 self._dials[hall.site] = self._dials_to(hall.site)
             for site, resource in self._dials.items():
-                grow(resource, view.dials_held.get(site, 0), 0.0)
-        for n, ((resource, quota), rate) in enumerate(zip(self._quotas, view.asked, strict=False)):
+                grow(resource, view.rejected_dials.get(site, 0), 0.0)
+        for n, ((resource, quota), rate) in enumerate(
+            zip(self._quotas, view.tenant_rates_per_s, strict=False)
+        ):
             quota *= self._wholes.get(n, 1.0)
             if quota > 0:
                 needs[resource] = min(self.terms.whole, int(ROOM * rate / quota * self.terms.whole))
@@ -343,7 +346,7 @@
         self._judged = {short(server) for server in self._avoid}
         self._silent = self.halls.silent(now)
         return Hear(
-            Heard(
+            SharedStateUpdate(
                 0,
                 cold,
                 quotas,
@@ -351,14 +354,14 @@
                 judgements.together(now),
                 budgets.lapses(now),
                 floor := terms.kept / terms.whole,
-                rest=1.0 if budgets.free(now) else floor,
-                repeats_per_s=bounds.repeats_per_s,
+                max_unlisted_share=1.0 if budgets.free(now) else floor,
+                retries_per_s=bounds.repeats_per_s,
                 dials_per_s=bounds.dials_per_s,
-                dials=dials,
-                repeats=share(self._repeats) if bounds.repeats_per_s else None,
-                silent={n: (s.since, s.until) for n, s in self._silent.items()},
-                lean=LEAN_PER_S / (LEAN_PER_S + judgements.weight),
-                stale=now + STALE_US,
+                dial_shares=dials,
+                retry_share=share(self._repeats) if bounds.repeats_per_s else None,
+                unreachable_zones={n: (s.since, s.until) for n, s in self._silent.items()},
+                fleet_shortage_weight=LEAN_PER_S / (LEAN_PER_S + judgements.weight),
+                fleet_shortage_until=now + STALE_US,
             )
         )
 
--- a/roadlb/wiring/optional.py
+++ b/roadlb/wiring/optional.py
@@ -13,7 +13,7 @@
 from ..config import Agreement, ConfigError, PeersConfig
 from ..lifecycle.lifecycle import State
 from ..lifecycle.parts import Calls, Part
-from ..policy.interface import Heard
+from ..policy.interface import SharedStateUpdate
 
 if TYPE_CHECKING:
     from ..app import App
@@ -56,7 +56,7 @@
 class AgreedConfiguration(Part):
     """Versions of agreed settings and lists; what it remembers is read as it is made."""
 
-    def __init__(self, app: App, told: Agreement, hear: Callable[[Heard], None]) -> None:
+    def __init__(self, app: App, told: Agreement, hear: Callable[[SharedStateUpdate], None]) -> None:
         try:
             from ..following.following import Following
             from ..xds.grpc.dial import dial
--- a/tests/engine/test_own_load.py
+++ b/tests/engine/test_own_load.py
@@ -16,7 +16,7 @@
 from roadlb.overload.meter import Limits
 from roadlb.overload.pulse import BEAT_US
 from roadlb.own_load import LATE_ENOUGH_US, OwnLoad
-from roadlb.policy.interface import Action, Event, ListKind, Member, RequestClass, Settings, Shortage
+from roadlb.policy.interface import Action, Event, ListKind, Member, ProcessOverload, RequestClass, Settings
 from roadlb.policy.logic import Balancer
 from roadlb.wheel import Wheel
 
@@ -103,7 +103,7 @@
             now += BEAT_US + late
             cpu += 1_000
             load._beat()
-        shares = [e.share for e in heard.events if isinstance(e, Shortage)]
+        shares = [e.share for e in heard.events if isinstance(e, ProcessOverload)]
         assert shares[0] == 0.0 and max(shares) > 0.2 and shares[-1] == 0.0
         assert tight == [True] and load.figures()["overload.descriptor_share"] == 0.9
         load.stop()
--- a/tests/following/test_following.py
+++ b/tests/following/test_following.py
@@ -22,7 +22,7 @@
 from roadlb.engine import Engine
 from roadlb.fleet.model import Cluster, Endpoint, Lifecycle, Locality, NodeId
 from roadlb.following.following import Following
-from roadlb.policy.interface import Heard, Settings
+from roadlb.policy.interface import Settings, SharedStateUpdate
 from roadlb.store.disk import Directory
 from roadlb.wheel import Wheel
 from roadlb.xds.client import choice
@@ -84,7 +84,7 @@
         disk = Directory(store) if store is not None else None
         self.list: dict[str, str] = {}
         self.states: list[dict[str, str]] = []
-        self.heard: list[Heard] = []
+        self.heard: list[SharedStateUpdate] = []
         self.rules: list[Settings] = []
         self.lapse_us, self.wall_jump_us = 0, 0
         self.counters = Counters()
@@ -242,13 +242,13 @@
                 await until(lambda: bool(ctl.sessions), "a stream")
                 ctl.propose(contents(*GOOD, **{"tenants.0.quota_per_s": "50"}))
                 await until(lambda: it.standing is Standing.GRANTED, "a lease")
-                assert it.heard[-1].parts == 2 and it.heard[-1].wholes == {0: 0.5}
+                assert it.heard[-1].process_count == 2 and it.heard[-1].quota_factors == {0: 0.5}
                 ctl.mute = True
-                await until(lambda: it.heard[-1].wholes == {0: 0.0}, "the lease's end")
+                await until(lambda: it.heard[-1].quota_factors == {0: 0.0}, "the lease's end")
                 assert it.standing is Standing.LAPSED and it.open == {"a1", "a2", "b1", "b2"}
                 await until(lambda: it.counters["follow.silent"] > 0, "a silent stream opened again")
                 ctl.mute = False
-                await until(lambda: it.heard[-1].wholes == {0: 0.5}, "a lease again")
+                await until(lambda: it.heard[-1].quota_factors == {0: 0.5}, "a lease again")
 
     played(test)
 
@@ -265,7 +265,7 @@
             it.following._clock = lambda: real() + 10 * TIMING.lease_us  # as after SIGSTOP
             assert follower.until == it.lapse_us
             it.following.lapsed()
-            assert it.heard[-1].wholes == {0: 0.0} and it.lapse_us > 1 << 60
+            assert it.heard[-1].quota_factors == {0: 0.0} and it.lapse_us > 1 << 60
             it.following._clock = real
 
     played(test)
@@ -373,7 +373,7 @@
         async with running(down):
             assert down.open == {"a2", "b1", "b2"} and down.standing is Standing.LAPSED
             assert down.following.drained("a1", 1_000) and not down.following.drained("a1", 1_001)
-            assert down.heard[-1].wholes == {0: 0.0}, "a lease was remembered"
+            assert down.heard[-1].quota_factors == {0: 0.0}, "a lease was remembered"
         # An older leader comes back: nothing of it is acted on.
         async with control(epoch=4) as old, running(Balancer([old.at], tmp_path)) as it:
             await until(lambda: bool(old.sessions), "a stream")
@@ -494,16 +494,16 @@
     async def test() -> None:
         now, record = [1_000], Record()
         engine = Engine(record, Counters(), lambda: now[0], Wheel(lambda: now[0]))
-        engine.lapse_us, engine.lapsed = 5_000, lambda: engine.heard(Heard(quotas={0: 0.0}))
+        engine.lapse_us, engine.lapsed = 5_000, lambda: engine.heard(SharedStateUpdate(quota_shares={0: 0.0}))
         engine.shortage(0.0)
         now[0] = 9_000
         engine.shortage(0.5)
         engine.shortage(0.0)
         assert [type(event).__name__ for event in record.events] == [
-            "Shortage",
-            "Heard",
-            "Shortage",
-            "Shortage",
+            "ProcessOverload",
+            "SharedStateUpdate",
+            "ProcessOverload",
+            "ProcessOverload",
         ]
 
     played(test)
--- a/tests/following/test_keys.py
+++ b/tests/following/test_keys.py
@@ -88,10 +88,10 @@
 
 def test_a_quota_is_followed_as_a_part_of_the_files_among_all_processes() -> None:
     running = Running({"instances": "4", "tenants.0.quota_per_s": "100", "tenants.1.quota_per_s": "10"})
-    assert running.heard({}, 2).parts == 8 and running.heard({}, 2).wholes == {}
+    assert running.heard({}, 2).process_count == 8 and running.heard({}, 2).quota_factors == {}
     told = {"instances": "5", "tenants.0.quota_per_s": "50", "tenants.1.quota_per_s": "900"}
     heard = running.heard(told, 1)
-    assert heard.parts == 5 and heard.quotas == {} and heard.wholes == {0: 0.5, 1: 90.0}
+    assert heard.process_count == 5 and heard.quota_shares == {} and heard.quota_factors == {0: 0.5, 1: 90.0}
 
 
 def test_the_example_can_be_followed_with_and_its_floors_are_taken() -> None:
--- a/tests/overload/test_policy_events.py
+++ b/tests/overload/test_policy_events.py
@@ -9,19 +9,19 @@
 from roadlb import Balancer
 from roadlb.policy.interface import (
     Action,
+    AdmissionCheck,
     Arrival,
     Effect,
     ListKind,
     ListUpdate,
     Member,
-    Offer,
     Outcome,
+    ProcessOverload,
     Refuse,
     RequestClass,
     Send,
     SetTimer,
     Settings,
-    Shortage,
     Status,
     Tenant,
     TimerFired,
@@ -68,7 +68,7 @@
         return isinstance(action, Send)
 
     def offer(self, cls: int, key: int = 0, left_us: int = 2 * SECOND, tenant: int = 0) -> list[Action]:
-        return self.do(Offer(cls, tenant, key, left_us, 0))
+        return self.do(AdmissionCheck(cls, tenant, key, left_us, 0))
 
     def mixed(self, count: int, gap_us: int = 1_000) -> dict[int, list[bool]]:
         """Seven reads to three orders; what became of each."""
@@ -100,7 +100,7 @@
 def test_a_shortage_refuses_its_share_reads_first(told: float, reads: float, orders: float) -> None:
     node = Node()
     node.mixed(1_000)
-    node.do(Shortage(told))
+    node.do(ProcessOverload(told))
     sent = node.mixed(2_000)
     assert share(sent[READ]) == pytest.approx(reads, abs=0.05)
     assert share(sent[ORDER]) == pytest.approx(orders, abs=0.05)
@@ -110,9 +110,9 @@
 def test_shortage_and_fleet_pressure_do_not_add_up(own: float, in_hand: int, refused: float) -> None:
     node = Node()
     node.mixed(1_000)
-    node.do(Shortage(own))
+    node.do(ProcessOverload(own))
     for _ in range(in_hand):
-        node.b.hand.began(node.now, 100_000)
+        node.b.in_flight_load.began(node.now, 100_000)
     count = 0
     for _ in range(2_000):
         count += not node.ask(READ if node.luck.random() < 0.7 else ORDER, node.luck.randrange(1, 1_000))
@@ -122,20 +122,20 @@
 
 def test_a_shortage_ends_when_the_next_one_says_so() -> None:
     node = Node()
-    node.do(Shortage(0.9))
+    node.do(ProcessOverload(0.9))
     node.mixed(1_000)
-    node.do(Shortage(0.0))
+    node.do(ProcessOverload(0.0))
     assert all(all(sent) for sent in node.mixed(500).values())
 
 
-@pytest.mark.parametrize("told", ["pressure", "own"])
+@pytest.mark.parametrize("told", ["shortage", "overload"])
 def test_clients_are_told_to_stay_away_for_longer_in_a_shortage_too(told: str) -> None:
     # Those who come back soon ask again while it lasts, and to refuse them costs what it is short of.
     waits = {}
     for share_of in (0.1, 0.9):
         node = Node()
         node.mixed(200)
-        node.b.pressure, node.b.own = 0.1, 0.1
+        node.b.shortage, node.b.overload = 0.1, 0.1
         setattr(node.b, told, share_of)
         cls = node.b.classes[READ]
         waits[share_of] = []
@@ -150,7 +150,7 @@
 def test_an_offer_is_answered_as_its_arrival_would_be(cls: int, told: float) -> None:
     node, refused = Node(), 0
     node.mixed(1_000)
-    node.do(Shortage(told))
+    node.do(ProcessOverload(told))
     for key in range(1, 40):
         offered = node.offer(cls, key)
         assert [type(a) for a in offered] == ([] if node.ask(cls, key) else [Refuse])
@@ -162,7 +162,7 @@
 def test_an_offer_and_its_arrival_count_once() -> None:
     # Counted twice, orders would seem to be twice as many, and so many more of the reads would be served.
     node = Node(tenants=TENANTS)
-    node.do(Shortage(0.7))
+    node.do(ProcessOverload(0.7))
     node.mixed(300)
     for cls in (READ, ORDER):
         for key in range(1, 100):
@@ -186,7 +186,7 @@
                 assert not node.offer(cls, key, tenant=tenant)
             node.ask(cls, key, tenant=tenant, takes_us=None if i % 50 == 0 else 20_000)
             node.wait(500)
-        assert node.b.pressure <= 0
+        assert node.b.shortage <= 0
         traces.append(node.trace)
     assert traces[0] == traces[1]
 
@@ -195,7 +195,7 @@
 def test_what_no_answer_can_reach_in_time_is_not_sent(effect: str) -> None:
     # A node worked for nothing, was blamed for the time-out, and an order had run with nobody told.
     node = Node()
-    node.do(Shortage(0.0))
+    node.do(ProcessOverload(0.0))
     for took in (90_000, 30_000, 120_000, 60_000):
         node.ask(ORDER, takes_us=took)
     for left, sent in ((1, False), (14_000, False), (16_000, True), (50_000, True)):
@@ -208,7 +208,7 @@
 def test_a_rare_quick_answer_is_enough_to_send_what_has_little_time() -> None:
     # A node that has the key answers in 3 ms where the mean is 90: a part of the mean would refuse that.
     node = Node()
-    node.do(Shortage(0.0))
+    node.do(ProcessOverload(0.0))
     node.ask(READ, takes_us=3_000)
     for _ in range(1_000):
         node.ask(READ, takes_us=90_000)
--- a/tests/policy/test_changed.py
+++ b/tests/policy/test_changed.py
@@ -14,17 +14,17 @@
     Action,
     Arrival,
     Cancel,
-    Changed,
     Effect,
     Fail,
     Group,
     ListKind,
     ListUpdate,
     Member,
+    ProcessOverload,
     Refuse,
     RequestClass,
     Send,
-    Shortage,
+    SettingsChanged,
     Status,
     Tenant,
 )
@@ -37,7 +37,7 @@
 
 
 def change(node: Node, **settings: object) -> list[Action]:
-    return node.do(Changed(replace(node.b.s, **settings)))  # type: ignore[arg-type]
+    return node.do(SettingsChanged(replace(node.b.settings, **settings)))  # type: ignore[arg-type]
 
 
 def copies(actions: list[Action]) -> list[Action]:
@@ -53,7 +53,7 @@
 
 
 def narrowed(node: Node) -> None:
-    change(node, classes=[replace(node.b.s.classes[0], effect=Effect.UNSAFE)])
+    change(node, classes=[replace(node.b.settings.classes[0], effect=Effect.UNSAFE)])
 
 
 def without_copies(node: Node) -> None:
@@ -183,7 +183,7 @@
     node.sent(7)
     (copy,) = copies(node.wait(80_000))
     assert isinstance(copy, Send)
-    assert change(node, classes=[replace(node.b.s.classes[0], effect=Effect.UNSAFE)]) == [
+    assert change(node, classes=[replace(node.b.settings.classes[0], effect=Effect.UNSAFE)]) == [
         Cancel(node.next, 1, unsent=True)
     ]
     assert node.end(copy.server, Status.MOOT, attempt=1) == []
@@ -196,7 +196,11 @@
     narrowed(node)
     for request, server in enumerate(servers, 1):
         node.end(server, request=request)
-    assert node.b.hand.out == 0 and not node.b.requests and all(s.out == 0 for s in node.b.list.ready)
+    assert (
+        node.b.in_flight_load.out == 0
+        and not node.b.requests
+        and all(s.in_flight == 0 for s in node.b.servers.ready)
+    )
 
 
 CLASSES = [RequestClass("read", worth=1.0), RequestClass("map", worth=8.0)]
@@ -206,7 +210,7 @@
     """Of each class of `CLASSES`, in turn, how many are refused while half of all must go."""
     refused = [0, 0]
     for i in range(count):
-        node.do(Shortage(0.5))
+        node.do(ProcessOverload(0.5))
         node.next += 1
         for action in node.do(Arrival(node.next, i % 2, i % 2, i % 211 + 1, SECOND, 0)):
             if isinstance(action, Send):
@@ -275,13 +279,13 @@
     node = Node(servers=2, born=10 * SECOND, cold_us=20 * SECOND, cold_from=0.5)
     while not isinstance(sent := node.ask(7)[0], Send):
         node.now += 1_000
-    before = [s.share for s in node.b.list.ready]
+    before = [s.share for s in node.b.servers.ready]
     change(node, cold_from=0.1, cold_us=40 * SECOND)
-    assert all(s.share < share for s, share in zip(node.b.list.ready, before, strict=True))
+    assert all(s.share < share for s, share in zip(node.b.servers.ready, before, strict=True))
     node.end(sent.server)
     assert node.b.slow_start.pace._held == 0
     change(node, cold_us=0)
-    assert [s.share for s in node.b.list.ready] == [1.0, 1.0]
+    assert [s.share for s in node.b.servers.ready] == [1.0, 1.0]
 
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.FULL, Status.RESET])
@@ -292,6 +296,13 @@
     )
     for n in range(300):
         if n % 10 == 0:
-            assert told.do(Changed(replace(told.b.s, classes=[replace(c) for c in told.b.s.classes]))) == []
+            assert (
+                told.do(
+                    SettingsChanged(
+                        replace(told.b.settings, classes=[replace(c) for c in told.b.settings.classes])
+                    )
+                )
+                == []
+            )
         ends = status if n % 7 == 0 else Status.OK
         assert alone.ask(ends) == told.ask(ends)
--- a/tests/policy/test_crossings.py
+++ b/tests/policy/test_crossings.py
@@ -8,7 +8,7 @@
 from roadlb.policy.interface import (
     Action,
     Arrival,
-    BodyWhole,
+    BodyComplete,
     Cancel,
     ClientGone,
     Effect,
@@ -70,7 +70,7 @@
         *node.wait(5 * SECOND),
     ]
     assert not [a for a in late if isinstance(a, Send)]
-    assert not node.b.requests and node.b.hand.out == 0 and node.b.fleet.out == 0
+    assert not node.b.requests and node.b.in_flight_load.out == 0 and node.b.fleet.in_flight == 0
 
 
 def test_a_body_that_is_whole_after_its_request_is_over_counts_for_nothing() -> None:
@@ -78,9 +78,9 @@
     (send,) = node.do(Arrival(1, 0, 0, 7, SECOND, 0, coming=True))
     assert isinstance(send, Send)
     node.do(ClientGone(1))
-    assert node.do(BodyWhole(1, SECOND)) == []
+    assert node.do(BodyComplete(1, SECOND)) == []
     node.do(Outcome(1, 0, send.server, Status.CANCELLED, 1000, True))
-    assert not node.b.requests and node.b.hand.out == 0 and node.b.fleet.out == 0
+    assert not node.b.requests and node.b.in_flight_load.out == 0 and node.b.fleet.in_flight == 0
 
 
 @pytest.mark.parametrize("effect", list(Effect))
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -13,27 +13,27 @@
     Effect,
     Fail,
     Group,
-    Heard,
     ListKind,
     ListUpdate,
     Log,
     Member,
     Outcome,
+    ProcessOverload,
     Refuse,
-    Report,
     RequestClass,
     Send,
     ServerState,
     SetTimer,
     Settings,
-    Shortage,
-    SiteWord,
+    SharedStateUpdate,
+    SiteOverride,
     Status,
     StreamStarted,
     Subscribe,
     Tenant,
     TimerFired,
     View,
+    ViewQuery,
 )
 from roadlb.routing.key_sets import MAX_SETS
 
@@ -218,7 +218,7 @@
             if isinstance(action, Send):
                 node.end(action.server, Status.ERROR)
         node.now += 1_000
-    assert 0 < sum(s.eject_until > 0 for s in node.b.list.ready) <= 3
+    assert 0 < sum(s.eject_until > 0 for s in node.b.servers.ready) <= 3
 
 
 def test_spoilt_answers_at_all_servers_alike_leave_orders_their_servers() -> None:
@@ -233,7 +233,7 @@
             (answer,) = node.end(send.server, AttemptOutcome.GARBLED.status)
             assert isinstance(answer, Fail)  # it may have run
         node.now += 10_000
-    assert not any(s.eject_until for s in node.b.list.ready)
+    assert not any(s.eject_until for s in node.b.servers.ready)
 
 
 def test_a_server_that_spoils_every_answer_is_left_out() -> None:
@@ -283,7 +283,7 @@
     shed = []
     for seed in (1, 2):
         node = Node(seed=seed, max_attempts=1)
-        node.do(Shortage(0.5))
+        node.do(ProcessOverload(0.5))
         shed.append([isinstance(node.ask(key)[0], Refuse) for key in range(1, 200)])
     both = [a == b for a, b in zip(*shed, strict=True)]
     assert 0.3 < sum(shed[0]) / len(both) < 0.7 and sum(both) > 0.9 * len(both)
@@ -312,7 +312,7 @@
     # What `handle` of the sites gave was added to the list that it had come from, and so said twice.
     node = Node(servers=0)
     node.do(ListUpdate(ListKind.FULL, [Member(bytes([n]), zone=n % 2) for n in range(4)]))
-    said = [a for a in node.do(SiteWord(1, out=True)) if isinstance(a, Log)]
+    said = [a for a in node.do(SiteOverride(1, out=True)) if isinstance(a, Log)]
     assert said == [Log("site 1: whole to out: an operator's word")]
 
 
@@ -320,7 +320,7 @@
     node = Node(tenants=[Tenant("a", 1000.0), Tenant("b", 1.0)])
     refused = [0, 0]
     for i in range(4000):
-        node.do(Shortage(0.5))
+        node.do(ProcessOverload(0.5))
         for action in node.ask(i % 211 + 1, tenant=i % 2):
             if isinstance(action, Send):
                 node.end(action.server)
@@ -373,7 +373,7 @@
 def pressed(node: Node, requests: int, quick: bytes = b"") -> list[bytes]:
     """Where requests go, one in 4 ms, each answered after 2 ms, while nearly all are refused.  With `quick`
     answers of other servers count as having taken a hundred times as long."""
-    node.do(Heard(pressure=0.95))
+    node.do(SharedStateUpdate(fleet_shortage=0.95))
     went = []
     for key in range(1, requests + 1):
         for action in node.ask(key):
@@ -434,10 +434,10 @@
     for key in range(1, 201):
         node.end(node.sent(key), took=200_000)
         node.wait(4_000)
-    usual, cold = node.b.classes[0].latency, bytes([10, 9, 9, 9, 0, 80])
+    usual, cold = node.b.classes[0].latency_us, bytes([10, 9, 9, 9, 0, 80])
     node.do(ListUpdate(ListKind.DELTA, [Member(cold, born_us=node.now)]))
     assert pressed(node, 800, quick=cold).count(cold) > 10
-    assert node.b.classes[0].latency >= usual
+    assert node.b.classes[0].latency_us >= usual
 
 
 def test_list_is_asked_for_at_the_start_and_again_after_failures_with_pauses() -> None:
@@ -473,11 +473,13 @@
 def test_set_grows_before_its_server_carries_twice_the_mean() -> None:
     # Busy servers drowned at under twice the mean while the rest idled, and the node shed (incident i0633d8).
     node = Node(servers=4)
-    home = node.b.list.servers[node.serve(7)]
-    for s in node.b.list.ready:
-        s.out, s.mean, s.at = (20, 20.0, node.now) if s is home else (10, 10.0, node.now)
+    home = node.b.servers.by_id[node.serve(7)]
+    for s in node.b.servers.ready:
+        s.in_flight, s.mean_in_flight, s.mean_updated_us = (
+            (20, 20.0, node.now) if s is home else (10, 10.0, node.now)
+        )
         s.since = node.now
-    node.b.fleet.out, node.b.fleet.mean, node.b.fleet.at = 50, 50.0, node.now
+    node.b.fleet.in_flight, node.b.fleet.mean_in_flight, node.b.fleet.mean_updated_us = 50, 50.0, node.now
     assert node.sent(7) != home.id
     assert len(node.b.sets[7].members) == 2
 
@@ -523,11 +525,11 @@
     node = Node(servers=2, report_source="inline", report_fields=("queue",))
     server = node.sent()
     node.do(Outcome(node.next, 0, server, Status.OK, 20_000, True, (30.0,)))
-    loads = [node.b.list.servers[server].load(node.b.now, node.b.aim)]
+    loads = [node.b.servers.by_id[server].load(node.b.now, node.b.aim_us)]
     for _ in range(2):
         node.wait(300_000)
         node.b.now = node.now
-        loads.append(node.b.list.servers[server].load(node.b.now, node.b.aim))
+        loads.append(node.b.servers.by_id[server].load(node.b.now, node.b.aim_us))
     assert loads[0] >= 30 and loads[2] < loads[0] / 10
 
 
@@ -540,7 +542,7 @@
             if isinstance(action, Send):
                 node.end(action.server)
         node.wait(20_000)
-    assert node.b.pressure == 0
+    assert node.b.shortage == 0
 
 
 def test_a_server_that_owes_answers_for_long_is_avoided_until_it_is_heard() -> None:
@@ -555,7 +557,7 @@
 def test_an_order_goes_to_a_suspect_server_where_there_is_no_other() -> None:
     node = Node(servers=1, classes=one(Effect.UNSAFE))
     node.end(node.sent(), Status.ERROR)
-    assert node.b.list.servers[node.ids[0]].suspect_until > node.now
+    assert node.b.servers.by_id[node.ids[0]].suspect_until > node.now
     assert node.sent() == node.ids[0]
 
 
@@ -565,8 +567,8 @@
     bad = node.sent()
     node.end(bad, Status.RESET)
     assert all(node.serve() != bad for _ in range(10))
-    node.b.list.servers[bad].failing *= 0.8**4  # as four good answers to reads leave it
-    assert node.b.list.servers[bad].suspect_until > node.now
+    node.b.servers.by_id[bad].failing *= 0.8**4  # as four good answers to reads leave it
+    assert node.b.servers.by_id[bad].suspect_until > node.now
     assert any(node.serve() == bad for _ in range(10))
 
 
@@ -582,7 +584,7 @@
             (send,) = node.end(send.server, Status.FULL, attempt=0)
         node.end(send.server, attempt=len(node.b.requests[node.next].attempts) - 1, took=5_000)
         node.wait(10_000)
-    assert turned < 30 and node.b.pressure == 0
+    assert turned < 30 and node.b.shortage == 0
 
 
 def test_key_sets_are_bounded_and_the_longest_unused_goes() -> None:
@@ -609,7 +611,7 @@
                 if isinstance(again, Send):
                     node.end(again.server, attempt=1)
             node.wait(30_000)
-        (view,) = asked.do(Report())
+        (view,) = asked.do(ViewQuery())
         assert isinstance(view, View)
         if i == 20:
             cold, drains = view.servers[1:3]
@@ -617,5 +619,7 @@
         ejected = ejected or any(s.ejected and s.suspect and not s.eligible for s in view.servers)
     assert ejected
     assert all(s.load >= 0 for s in view.servers) and len(view.servers) == 6
-    assert asked.b.random.getstate() == quiet.b.random.getstate()
-    assert [s.mean for s in asked.b.list.ready] == [s.mean for s in quiet.b.list.ready]
+    assert asked.b.rng.getstate() == quiet.b.rng.getstate()
+    assert [s.mean_in_flight for s in asked.b.servers.ready] == [
+        s.mean_in_flight for s in quiet.b.servers.ready
+    ]
--- a/tests/policy/test_heard.py
+++ b/tests/policy/test_heard.py
@@ -7,21 +7,21 @@
     Action,
     Arrival,
     Event,
-    Heard,
     ListKind,
     ListUpdate,
     Member,
     Outcome,
     Refuse,
-    Report,
     RequestClass,
     Send,
     SetTimer,
     Settings,
+    SharedStateUpdate,
     Status,
     Tenant,
     TimerFired,
     View,
+    ViewQuery,
 )
 from roadlb.routing.shares import Shares
 from roadlb.routing.standing import EJECT_SHARE, Standing, Standings
@@ -62,7 +62,7 @@
         return [a.server for _ in range(count) for a in self.ask() if isinstance(a, Send)]
 
     def view(self) -> View:
-        (view,) = self.b.handle(self.now, Report())
+        (view,) = self.b.handle(self.now, ViewQuery())
         assert isinstance(view, View)
         return view
 
@@ -71,7 +71,7 @@
     alone, told = Fed(), Fed()
     for n in range(200):
         if n % 10 == 0:
-            assert told.do(Heard()) == []
+            assert told.do(SharedStateUpdate()) == []
         status = Status.ERROR if n % 7 == 0 else Status.OK
         assert alone.ask(status) == told.ask(status)
 
@@ -79,7 +79,7 @@
 def test_a_server_that_others_judge_bad_is_avoided_until_then_and_not_beyond_the_share() -> None:
     fed = Fed()
     until = fed.now + 20 * SECOND
-    fed.do(Heard(avoid={s: until for s in [b"unknown", *SERVERS[:6]]}))
+    fed.do(SharedStateUpdate(avoid_until={s: until for s in [b"unknown", *SERVERS[:6]]}))
     most = int(EJECT_SHARE * len(SERVERS))
     assert sum(s.ejected for s in fed.view().servers) == most
     assert not set(SERVERS[:most]) & set(fed.went(100))
@@ -120,7 +120,7 @@
         fed.went(100)
         fed.do(ListUpdate(ListKind.DELTA, [Member(b"cold", born_us=fed.now)]))
         if share is not None:
-            fed.do(Heard(cold={b"cold": share}))
+            fed.do(SharedStateUpdate(slow_start_shares={b"cold": share}))
         return fed.went(190).count(b"cold")
 
     assert sent(0.0) == 0 < sent(0.25) == sent(None) < sent(1.0)
@@ -131,7 +131,7 @@
 
     def refused(quotas: dict[int, float]) -> list[bool]:
         fed = Fed(classes=[RequestClass("read")], tenants=tenants)
-        fed.do(Heard(quotas=quotas, pressure=0.3))
+        fed.do(SharedStateUpdate(quota_shares=quotas, fleet_shortage=0.3))
         for n in range(200):
             fed.ask(tenant=n % 2)
         # Ten a second of each: a quarter of b's quota is as much.
@@ -145,10 +145,10 @@
 def test_the_shortage_that_all_see_stands_for_the_own() -> None:
     fed = Fed()
     assert fed.view().shortage == 0.0
-    fed.do(Heard(pressure=0.5))
+    fed.do(SharedStateUpdate(fleet_shortage=0.5))
     refused = sum(any(isinstance(a, Refuse) for a in fed.ask()) for _ in range(200))
     assert 70 < refused < 130
-    fed.do(Heard())
+    fed.do(SharedStateUpdate())
     assert not any(isinstance(a, Refuse) for _ in range(50) for a in fed.ask())
 
 
@@ -159,7 +159,11 @@
     assert round(shares.shortage(0, 0.2), 6) == 0.3 and round(shares.shortage(0, 1.0), 6) == 0.9
     assert shares.shortage(SECOND, 0.2) == 0.2
     fed = Fed()
-    fed.do(Heard(pressure=0.8, lean=0.5, stale=fed.now + 1_000 * SECOND))
+    fed.do(
+        SharedStateUpdate(
+            fleet_shortage=0.8, fleet_shortage_weight=0.5, fleet_shortage_until=fed.now + 1_000 * SECOND
+        )
+    )
     assert 50 < sum(any(isinstance(a, Refuse) for a in fed.ask()) for _ in range(200)) < 110
 
 
--- a/tests/policy/test_many_instances.py
+++ b/tests/policy/test_many_instances.py
@@ -13,7 +13,6 @@
 from roadlb.policy.interface import (
     Arrival,
     Effect,
-    Heard,
     ListKind,
     ListUpdate,
     Member,
@@ -23,6 +22,7 @@
     ServerState,
     SetTimer,
     Settings,
+    SharedStateUpdate,
     Status,
     TimerFired,
 )
@@ -192,7 +192,7 @@
         if second == 11:
             fleet.tell(ListUpdate(ListKind.DELTA, [Member(s, zone=1, born_us=fleet.born) for s in hall]))
         for i in range(instances):
-            fleet.do(i, Heard(pressure=0.4))
+            fleet.do(i, SharedStateUpdate(fleet_shortage=0.4))
         fleet.play(1, rate=16 * EACH)
     did = 0
     for server in hall:
@@ -215,7 +215,7 @@
     fleet.tell(ListUpdate(ListKind.DELTA, [Member(s, born_us=fleet.born) for s in cold]))
     for _ in range(8):
         for i in range(instances):
-            fleet.do(i, Heard(pressure=0.75))
+            fleet.do(i, SharedStateUpdate(fleet_shortage=0.75))
         fleet.play(1, rate=30 * EACH)
     did = 0
     for server in cold:
@@ -272,7 +272,8 @@
             went[-1].append(send.server)
             b.handle(key * SECOND + 1000, Outcome(key, 0, send.server, Status.OK, 1000, True))
     own = [
-        sum(halls[s] == b.s.zone for s in servers) / 600 for b, servers in zip(balancers, went, strict=True)
+        sum(halls[s] == b.settings.zone for s in servers) / 600
+        for b, servers in zip(balancers, went, strict=True)
     ]
     assert all(0.6 < part < 0.75 for part in own[:3]) and own[3] < 0.45
     assert went[0] == went[1]  # balancers of a hall agree
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -8,7 +8,7 @@
 import pytest
 from slow_start_fleet import SECOND, Fleet
 
-from roadlb.policy.interface import Twins
+from roadlb.policy.interface import ProcessCount
 
 WARM = 6
 PER_S = 16.0  # requests of mean work that a warm server does
@@ -97,12 +97,12 @@
         pairs.append((number, fleet.start(fleet.traffic[number])))
     for old, new in pairs:
         for number in (old, new) if told_after is not None else ():
-            fleet.put(fleet.now + int(told_after * SECOND), number, Twins(2))
+            fleet.put(fleet.now + int(told_after * SECOND), number, ProcessCount(2))
     fleet.play(3, rate)
     for old, new in pairs:
         fleet.traffic[new] += fleet.traffic[old]
         fleet.end(old)
-        fleet.put(fleet.now, new, Twins(1))
+        fleet.put(fleet.now, new, ProcessCount(1))
     fleet.play(6, rate)
     return fleet
 
--- a/tests/shared_state/test_bounds.py
+++ b/tests/shared_state/test_bounds.py
@@ -106,7 +106,9 @@
     terms = Terms(instances=4)
     told = Told(0, "lb-0", 2, "hall-0", terms, (), Bounds(dials_per_s=RATE, halls=("hall-0", "hall-1")))
     [hear] = told.handle(0, Beside(1))
-    assert isinstance(hear, Hear) and hear.event.dials == dict.fromkeys((0, 1), terms.kept / terms.whole)
+    assert isinstance(hear, Hear) and hear.event.dial_shares == dict.fromkeys(
+        (0, 1), terms.kept / terms.whole
+    )
 
 
 def test_what_a_lapsed_share_makes_is_the_floor_s_though_it_was_asked_later() -> None:
--- a/tests/shared_state/test_halls.py
+++ b/tests/shared_state/test_halls.py
@@ -142,7 +142,7 @@
 
 def told_of_it(f: ToldFleet) -> set[int]:
     """Halls whose balancers were told of a silent one."""
-    return {i % 3 for i, p in enumerate(f.parties) if any(h.silent for h in p.heard)}
+    return {i % 3 for i, p in enumerate(f.parties) if any(h.unreachable_zones for h in p.heard)}
 
 
 BUSY = [20.0, 0.1, 0.1] * 4  # the others seldom hear of it themselves
--- a/tests/shared_state/test_merged.py
+++ b/tests/shared_state/test_merged.py
@@ -7,7 +7,7 @@
 
 from pytest import approx
 
-from roadlb.policy.interface import Heard, View
+from roadlb.policy.interface import SharedStateUpdate, View
 from roadlb.routing.shares import Shares
 from roadlb.shared_state.budgets import Terms
 from roadlb.shared_state.events import Agreed, Beside
@@ -15,10 +15,13 @@
 from roadlb.shared_state.told import PULSE_US, Hear, Message, Post, Pulse, There, Told
 
 N = 4
-HALVED, FLOOR = FromVersions(Heard(N, wholes={0: 0.5})), FromVersions(Heard(N, wholes={0: 0.2}))
+HALVED, FLOOR = (
+    FromVersions(SharedStateUpdate(N, quota_factors={0: 0.5})),
+    FromVersions(SharedStateUpdate(N, quota_factors={0: 0.2})),
+)
 LENT = FromShares(
     N,
-    Heard(
+    SharedStateUpdate(
         0,
         {b"s": 0.4},
         {0: 0.4},
@@ -26,19 +29,28 @@
         None,
         1_000,
         0.125,
-        repeats_per_s=9.0,
-        repeats=0.4,
+        retries_per_s=9.0,
+        retry_share=0.4,
         dials_per_s=9.0,
-        dials={1: 0.4},
+        dial_shares={1: 0.4},
     ),
 )
-ALONE = FromShares(N, Heard(0, {}, {}, {}, None, 0, 0.125))
+ALONE = FromShares(N, SharedStateUpdate(0, {}, {}, {}, None, 0, 0.125))
 
 
-def quota(heard: Heard, now: int = 0) -> float:
+def quota(heard: SharedStateUpdate, now: int = 0) -> float:
     """Of the settings' quota, what this balancer serves as within it."""
     shares = Shares(N)
-    shares.told(0, heard.parts, heard.cold, heard.quotas, None, heard.until, heard.floor, heard.wholes)
+    shares.told(
+        0,
+        heard.process_count,
+        heard.slow_start_shares,
+        heard.quota_shares,
+        None,
+        heard.lease_end_us,
+        heard.fallback_share,
+        heard.quota_factors,
+    )
     return 1 / shares.of_quota(now, 0)
 
 
@@ -47,35 +59,35 @@
         merged, whole, share = Merged(), 1.0, 1 / N
         for event in order:
             (heard, *_) = merged.handle(0, event)
-            assert isinstance(heard, Heard)
-            whole = event.heard.wholes[0] if isinstance(event, FromVersions) else whole
-            share = event.heard.quotas.get(0, 1 / N) if isinstance(event, FromShares) else share
+            assert isinstance(heard, SharedStateUpdate)
+            whole = event.heard.quota_factors[0] if isinstance(event, FromVersions) else whole
+            share = event.heard.quota_shares.get(0, 1 / N) if isinstance(event, FromShares) else share
             assert abs(quota(heard) - whole * share) < 1e-12
-            assert (b"bad" in heard.avoid) == (share == 0.4)
+            assert (b"bad" in heard.avoid_until) == (share == 0.4)
 
 
 def test_each_lease_ends_alone() -> None:
     merged = Merged()
     merged.handle(0, HALVED)
     (heard,) = merged.handle(0, LENT)
-    assert isinstance(heard, Heard)
+    assert isinstance(heard, SharedStateUpdate)
     assert quota(heard, 999) == approx(0.2) and quota(heard, 1_000) == approx(0.0625)  # the shares
-    (heard,) = [a for a in merged.handle(999, FLOOR) if isinstance(a, Heard)]  # the versions
+    (heard,) = [a for a in merged.handle(999, FLOOR) if isinstance(a, SharedStateUpdate)]  # the versions
     assert quota(heard, 999) == approx(0.08) and quota(heard, 1_000) == approx(0.025)
 
 
 def test_shares_in_parts_of_another_number_count_for_no_more_than_even_ones() -> None:
     merged = Merged()
     merged.handle(0, LENT)
-    heard, agreed = merged.handle(0, FromVersions(Heard(2 * N)))
-    assert agreed == Agreed(2 * N, {}) and isinstance(heard, Heard)
+    heard, agreed = merged.handle(0, FromVersions(SharedStateUpdate(2 * N)))
+    assert agreed == Agreed(2 * N, {}) and isinstance(heard, SharedStateUpdate)
     even = 1 / (2 * N)
-    assert heard.quotas == {0: even} and heard.cold == {b"s": even}
-    assert heard.repeats == even and heard.dials == {1: even}
+    assert heard.quota_shares == {0: even} and heard.slow_start_shares == {b"s": even}
+    assert heard.retry_share == even and heard.dial_shares == {1: even}
     (heard,) = merged.handle(0, FromShares(2 * N, LENT.heard))
-    assert isinstance(heard, Heard) and heard.quotas == {0: 0.4}
+    assert isinstance(heard, SharedStateUpdate) and heard.quota_shares == {0: 0.4}
     merged.handle(0, Beside(2))  # a twin changes the parts, and not the number
-    assert len(merged.handle(0, FromVersions(Heard(4 * N)))) == 1
+    assert len(merged.handle(0, FromVersions(SharedStateUpdate(4 * N)))) == 1
 
 
 class Fleet:
@@ -84,7 +96,7 @@
     def __init__(self, seed: int) -> None:
         self.random, self.now, self.most = random.Random(seed), 10_000_000, 0.0
         self.told = [Told(0, f"lb-{i}", 1, "h", Terms(instances=N), [("t", 100.0)]) for i in range(N)]
-        self.merged, self.heard = [Merged() for _ in self.told], [Heard() for _ in self.told]
+        self.merged, self.heard = [Merged() for _ in self.told], [SharedStateUpdate() for _ in self.told]
         self.way: list[tuple[int, int, bytes]] = []
         for i, told in enumerate(self.told):
             self.do(i, told.handle(self.now, There(tuple(f"lb-{i}" for i in range(N)))))
@@ -100,7 +112,7 @@
         for action in self.merged[i].handle(self.now, event):
             if isinstance(action, Agreed):
                 self.do(i, self.told[i].handle(self.now, action))
-            elif isinstance(action, Heard):
+            elif isinstance(action, SharedStateUpdate):
                 self.heard[i] = action
                 self.look()
 
@@ -111,9 +123,9 @@
         for _ in range(pulses):
             for i, told in enumerate(self.told):
                 if self.random.random() < 0.02:
-                    self.tell(i, FromVersions(Heard(self.random.choice((N, N, 2 * N, 5 * N)))))
+                    self.tell(i, FromVersions(SharedStateUpdate(self.random.choice((N, N, 2 * N, 5 * N)))))
                 asked = 90.0 if (self.now // 5_000_000) % N == i else 0.0
-                self.do(i, told.handle(self.now, Pulse(View([], asked=(asked,)), 0)))
+                self.do(i, told.handle(self.now, Pulse(View([], tenant_rates_per_s=(asked,)), 0)))
             for _ in range(len(self.way)):
                 sender, to, payload = self.way.pop(self.random.randrange(len(self.way)))
                 self.do(to, self.told[to].handle(self.now, Message(f"lb-{sender}", 1, payload)))
@@ -127,12 +139,12 @@
         fleet.play(200)
         assert fleet.most <= 1 + 1e-9
         for i in range(N):
-            fleet.tell(i, FromVersions(Heard(N)))
+            fleet.tell(i, FromVersions(SharedStateUpdate(N)))
         fleet.play(1)
         largest = 0.0
         for _ in range(60):
             for i in range(N):
-                fleet.tell(i, FromVersions(Heard(N)))
+                fleet.tell(i, FromVersions(SharedStateUpdate(N)))
             fleet.play(1)
             largest = max(largest, max(quota(heard, fleet.now) for heard in fleet.heard))
         assert largest > 1.5 / N and fleet.most <= 1 + 1e-9
--- a/tests/shared_state/test_told.py
+++ b/tests/shared_state/test_told.py
@@ -40,7 +40,8 @@
     off, deaf = played(False), played(True, Air(loss=1.0))
     assert off.sent == deaf.sent and off.refused == deaf.refused
     assert all(
-        p.heard[0].pressure is None and not p.heard[0].cold and not p.heard[0].quotas for p in deaf.parties
+        p.heard[0].fleet_shortage is None and not p.heard[0].slow_start_shares and not p.heard[0].quota_shares
+        for p in deaf.parties
     )
 
 
@@ -51,7 +52,7 @@
 
 def test_a_server_that_is_bad_for_one_hall_is_avoided_by_that_hall_alone() -> None:
     fleet = played(True, hall=0)
-    avoiding = {i % 3 for i, p in enumerate(fleet.parties) if b"node-7" in p.heard[0].avoid}
+    avoiding = {i % 3 for i, p in enumerate(fleet.parties) if b"node-7" in p.heard[0].avoid_until}
     assert avoiding == {0}
     assert any(s.server == b"node-7" and s.balancer % 3 for s in fleet.sent if s.at > fleet.now - SECOND)
 
@@ -63,7 +64,7 @@
 
 
 def pulse(t: Told, now: int, asked: float, *servers: ServerView) -> list[object]:
-    return list(t.handle(now, Pulse(View(list(servers), asked=(asked,)), 0)))
+    return list(t.handle(now, Pulse(View(list(servers), tenant_rates_per_s=(asked,)), 0)))
 
 
 def test_the_module_hears_of_less_before_any_of_it_leaves() -> None:
@@ -73,7 +74,7 @@
     assert t.handle(START, Message("b", 1, write(Ask(1, 4, ((k, 0, TERMS.part),))))) == []
     hear, post = pulse(t, START + 1, 0.0)[:2]
     assert isinstance(hear, Hear) and isinstance(post, Post) and post.to == "b"
-    assert hear.event.quotas == {0: TERMS.kept / TERMS.whole}
+    assert hear.event.quota_shares == {0: TERMS.kept / TERMS.whole}
     assert read(post.payload) == Answer(1, 1, ((k, TERMS.most),))
 
 
@@ -89,10 +90,19 @@
     (hear, *_) = pulse(t, START + 1, 90.0)
     assert isinstance(hear, Hear) and len(asks) == 3
     heard = hear.event
-    assert heard.quotas[0] > 0.6 and heard.until == START + TERMS.lease_us
+    assert heard.quota_shares[0] > 0.6 and heard.lease_end_us == START + TERMS.lease_us
     shares = Shares(4)
-    shares.told(0, 0, heard.cold, heard.quotas, None, heard.until, heard.floor, heard.wholes)
-    assert shares.of_quota(heard.until - 1, 0) == 1.6 and shares.of_quota(heard.until, 0) == 8
+    shares.told(
+        0,
+        0,
+        heard.slow_start_shares,
+        heard.quota_shares,
+        None,
+        heard.lease_end_us,
+        heard.fallback_share,
+        heard.quota_factors,
+    )
+    assert shares.of_quota(heard.lease_end_us - 1, 0) == 1.6 and shares.of_quota(heard.lease_end_us, 0) == 8
 
 
 def test_nothing_is_given_of_a_cold_server_that_the_module_may_still_use_wholly() -> None:
@@ -112,10 +122,12 @@
     assert given > 0
     for cold_yet in ((cold,), ()):  # gone from the list, it may come back while the gift is used
         (hear, *_) = pulse(t, START + 5, 0.0, *cold_yet)
-        assert isinstance(hear, Hear) and hear.event.cold == {b"new": (TERMS.part - given) / TERMS.whole}
+        assert isinstance(hear, Hear) and hear.event.slow_start_shares == {
+            b"new": (TERMS.part - given) / TERMS.whole
+        }
     early = Told(0, "a", 2, "hall", TERMS).handle(1, Beside(1))[0]
     assert isinstance(early, Hear)
-    for rest, among in ((early.event.rest, 8), (hear.event.rest, 4)):
+    for rest, among in ((early.event.max_unlisted_share, 8), (hear.event.max_unlisted_share, 4)):
         shares = Shares(4)
         shares.rest = rest
         assert shares.of_cold(0, b"unheard of") == among
@@ -125,7 +137,7 @@
     t = told()
     pulse(t, START, 0.0)
     (hear,) = t.handle(START, Beside(2))
-    assert isinstance(hear, Hear) and hear.event.quotas == {0: TERMS.kept // 2 / TERMS.whole}
+    assert isinstance(hear, Hear) and hear.event.quota_shares == {0: TERMS.kept // 2 / TERMS.whole}
 
 
 def test_what_is_no_message_is_counted_and_nothing_more() -> None:
@@ -135,7 +147,7 @@
 
 def test_operators_see_shares_and_judgements_with_their_witnesses() -> None:
     fleet = played(True, seed=4)
-    party = next(p for p in fleet.parties if b"node-7" in p.heard[0].avoid)
+    party = next(p for p in fleet.parties if b"node-7" in p.heard[0].avoid_until)
     assert party.told
     figures = party.told.figures(fleet.now)
     (judged,) = (j for j in figures["judgements"] if j["server"] == "node-7")
@@ -165,11 +177,11 @@
         for n, name in enumerate("bcd"):
             evidence = Evidence(0.5, 10, 5, 0, key(Budget.COLD, b"hall"), number=n + 1)
             t.handle(START + SECOND, Message(name, 1, write(evidence)))
-        (hear, *_) = t.handle(START + SECOND, Pulse(View([], asked=(0.0,)), served))
-        (hear, *_) = t.handle(START + SECOND + 1, Pulse(View([], asked=(0.0,)), served))
-        assert isinstance(hear, Hear) and 0.3 < (hear.event.pressure or 0) <= 0.5
-        assert hear.event.stale > START + SECOND
-        leans.append(hear.event.lean)
+        (hear, *_) = t.handle(START + SECOND, Pulse(View([], tenant_rates_per_s=(0.0,)), served))
+        (hear, *_) = t.handle(START + SECOND + 1, Pulse(View([], tenant_rates_per_s=(0.0,)), served))
+        assert isinstance(hear, Hear) and 0.3 < (hear.event.fleet_shortage or 0) <= 0.5
+        assert hear.event.fleet_shortage_until > START + SECOND
+        leans.append(hear.event.fleet_shortage_weight)
     assert leans[0] > 0.85 and leans[1] < 0.15
-    (hear, *_) = t.handle(START + 4 * SECOND, Pulse(View([], asked=(0.0,)), 200))
-    assert isinstance(hear, Hear) and hear.event.pressure is None, "nobody is heard any more"
+    (hear, *_) = t.handle(START + 4 * SECOND, Pulse(View([], tenant_rates_per_s=(0.0,)), 200))
+    assert isinstance(hear, Hear) and hear.event.fleet_shortage is None, "nobody is heard any more"
--- a/tests/sites/test_lost_site.py
+++ b/tests/sites/test_lost_site.py
@@ -11,7 +11,6 @@
     Arrival,
     Cancel,
     Effect,
-    Heard,
     ListKind,
     ListUpdate,
     Member,
@@ -19,8 +18,9 @@
     Refuse,
     RequestClass,
     Send,
-    Settings,
     SetTimer,
+    Settings,
+    SharedStateUpdate,
     Status,
     TimerFired,
 )
@@ -143,7 +143,7 @@
     world.play(6)
     assert 2 * LOSS <= len(world.sent_since(began)) <= 2 * (LOSS + more)
     assert world.refused - so_far <= 3
-    assert world.balancer.pressure < 0.3
+    assert world.balancer.shortage < 0.3
 
 
 def test_a_shut_hall_is_tried_once_a_second_with_what_may_run_twice_and_taken_back_when_it_answers() -> None:
@@ -179,7 +179,7 @@
     world.play(5)
     world.dark = {1, 2}
     world.play(5)
-    world.do(Heard(pressure=0.95))
+    world.do(SharedStateUpdate(fleet_shortage=0.95))
     began = world.now
     world.play(10)
     tried = world.sent_since(began)
--- a/tests/sites/test_processes_planted.py
+++ b/tests/sites/test_processes_planted.py
@@ -15,7 +15,7 @@
 from roadlb.policy.state import Server
 one = refusal.Refusals()
 for rank in (1, 2): one.ask(rank)
-print(life.LOSS, life.SHORT_US, Server(b"x", out=3).load(0, 1))
+print(life.LOSS, life.SHORT_US, Server(b"x", in_flight=3).load(0, 1))
 print(one.refused(1, 0.5, 0.5), one.refused(2, 0.5, 0.5))
 """
 
