--- a/benchmarks/shared_beside.py
+++ b/benchmarks/shared_beside.py
@@ -169,7 +169,7 @@
         self.shortages: dict[int, list[float]] = defaultdict(list)
         self.refused: dict[int, list[tuple[int, int]]] = defaultdict(list)
         self.undialled: dict[int, int] = defaultdict(int)
-        refuse, tick, judge = Balancer.refuse, Balancer.tick, Balancer.judge
+        refuse, tick, judge = Balancer.refuse, Balancer.on_tick, Balancer.record_outcome
         counts: dict[int, int] = defaultdict(int)
         short: dict[int, float] = {}
 
@@ -179,7 +179,7 @@
 
         def seen_tick(balancer: Any) -> None:
             second, me = balancer.now // SECOND, id(balancer)
-            short[me] = balancer.wanting()
+            short[me] = balancer.measure_shortage()
             self.shortages[second].append(short[me])
             self.refused[second].append((counts.pop(me, 0), 0))
             tick(balancer)
@@ -190,8 +190,8 @@
             judge(balancer, s, r, status, *args, **words)
 
         Balancer.refuse = seen_refuse  # type: ignore[method-assign]
-        Balancer.tick = seen_tick  # type: ignore[method-assign]
-        Balancer.judge = seen_judge  # type: ignore[method-assign]
+        Balancer.on_tick = seen_tick  # type: ignore[method-assign]
+        Balancer.record_outcome = seen_judge  # type: ignore[method-assign]
 
     def figures(self, zero: int, at: float, until: float) -> dict[str, float]:
         """`refused beside room`: refusals, of all, in seconds in which half of the balancers had room."""
