--- a/roadlb/policy/__init__.py
+++ b/roadlb/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: logic, the interface to them, and the records they keep.  No I/O."""
+"""The policy of the load balancer: its decisions, their interface and their records.  No I/O."""
--- a/roadlb/policy/change.py
+++ b/roadlb/policy/change.py
@@ -1,14 +1,14 @@
-"""Other settings while requests are open: what each class is from now on, and what open requests keep.
+"""Applies new settings while requests are open.
 
     setting                        an open request
-    effect, group, window          is held to the stricter, key by key, of its own rule and the new one
-    aim, deadline, worth           keeps those that it came under
-    max_attempts, second_copies    as the new settings have it, asked at each attempt
-    all others                     is not concerned
-
-Stricter is what the table of the agreement calls narrower, so that nothing is allowed to an open request that
-no version allowed it.  Such a request bears a `ClassState` of its own; what its answer teaches of the class's
-latency is lost, as it is of one that is over in a moment.
+    effect, group, window          follows the stricter, setting by setting, of its own rule and the new one
+    aim, deadline, worth           keeps those of its arrival
+    max_attempts, second_copies    follows the new settings, at each attempt
+    all others                     is not affected
+
+Stricter is what the agreement's table of settings calls narrower, so that an open request is allowed nothing
+that no version allowed it.  Such a request has a `ClassState` of its own; the latency of its answer does not
+count for its class, which matters little as these requests end soon.
 """
 
 from __future__ import annotations
@@ -31,9 +31,10 @@
     warm_up: Warmth,
     rebuild: Callable[[], None],
 ) -> list[Action]:
-    """Make all that is kept under the settings `old` what it is under `new`.
+    """Bring classes, open requests, refusal ranks and slow start from the settings `old` to `new`.
 
-    `rebuild` is called where capacities, or the order of keys' servers, follow from what has changed.
+    `rebuild` is called if capacities or the order of keys' servers depend on what has changed.  Returns the
+    cancellations of retries that must not be sent any more.
     """
     actions: list[Action] = []
     class_indexes = {id(cls): class_index for class_index, cls in enumerate(classes)}
@@ -59,7 +60,7 @@
 
 
 def stricter(held: RequestClass, rule: RequestClass) -> RequestClass:
-    """What neither of both rules forbids, with all else as `held` has it."""
+    """What neither rule forbids, with everything else as in `held`."""
     return replace(
         held,
         effect=max(held.effect, rule.effect),
@@ -69,7 +70,7 @@
 
 
 def _state_of_open(cls: ClassState, rule: RequestClass) -> ClassState:
-    """For the open requests of `cls`: itself, where the new rule is the one that they have already."""
+    """The class state for open requests of `cls`: `cls` itself if the new rule is the one that they have."""
     spec = stricter(cls.spec, rule)
     if spec == cls.spec and (cls.listed_class is not None or _execution_rule(spec) == _execution_rule(rule)):
         return cls
@@ -83,7 +84,7 @@
 
 
 def _cancel_unsent_repeats(request: Request) -> list[Action]:
-    """A repeat that waits for its connection is called off: it would reach a server from now on."""
+    """Cancel retries that wait for a connection: they would reach a server under the new rule."""
     first = request.earliest_run()
     return (
         []
@@ -97,7 +98,7 @@
 
 
 def cancel_unsent_to_drained(requests: Iterable[Request]) -> list[Action]:
-    """Attempts that still wait for their dial to a server that is no longer ready would reach it too late."""
+    """Cancel attempts that still wait to connect to a server that is no longer ready."""
     return [
         Cancel(request.id, n, unsent=True)
         for request in requests
@@ -107,7 +108,7 @@
 
 
 def _ranking_settings(settings: Settings) -> object:
-    """What the ranks of refusals follow from."""
+    """The settings that determine the ranks of requests in load shedding."""
     return (
         [c.worth for c in settings.classes],
         settings.refusals,
@@ -118,5 +119,5 @@
 
 
 def _lookup_settings(settings: Settings) -> object:
-    """What `rebuild` reads."""
+    """The settings that `rebuild` reads."""
     return settings.cross_zone_cost > 0, settings.cold_from, settings.cold_us
--- a/roadlb/policy/interface.py
+++ b/roadlb/policy/interface.py
@@ -1,8 +1,8 @@
-"""What goes into and comes out of `roadlb.policy.logic.Balancer`: settings, events and actions.
+"""Settings, events and actions: the input and output of `roadlb.policy.logic.Balancer`.
 
-All times are integer microseconds on one monotonic clock that the embedder owns.  Nothing here decides
-anything; `Settings.check` only refuses settings that make no sense.  What is made for each request has its
-constructor written out: mypyc compiles one, but not what `dataclass` makes.
+All times are integer microseconds of one monotonic clock that the embedder owns.  Nothing here decides
+anything; `Settings.check` only rejects inconsistent settings.  Classes of which each request makes an
+instance have their constructor written out: mypyc compiles that, but not the one that `dataclass` generates.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 
 class Effect(IntEnum):
-    """May a request run more than once?"""
+    """How often a request may run."""
 
     SAFE = 0  # any number of times
-    KEYED = 1  # a repeat is discarded by the servers of one group, for a while
-    UNSAFE = 2  # never
+    KEYED = 1  # the servers of one group discard a repeat, within a time window
+    UNSAFE = 2  # at most once
 
 
 class Group(IntEnum):
-    """The servers that discard each other's repeats of a keyed request."""
+    """Which servers discard each other's repeats of a keyed request."""
 
     ALL = 0
     ZONE = 1
@@ -41,9 +41,9 @@
 
 
 class ListKind(IntEnum):
-    CACHED = 0  # the whole list, as last held before a restart
+    CACHED = 0  # the whole list, as it was known before a restart
     FULL = 1  # the whole list
-    FAILED = 2  # a call failed or the subscription broke; the list held stays valid
+    FAILED = 2  # a call failed or the subscription broke; the known list stays valid
     DELTA = 3  # changed entries only
 
 
@@ -58,16 +58,16 @@
     RESET = 6
     CANCELLED = 7
     MOOT = 8
-    SPOILT = 9  # it came back, but not so that it could be used; it may have run (on sockets only)
+    SPOILT = 9  # the response was unusable; the request may have run (on sockets only)
 
 
-# The outcomes that prove that an attempt never ran.
+# Outcomes that prove that an attempt did not run.
 NEVER_RAN = frozenset({Status.FULL, Status.CONNECT_FAILED, Status.MOOT})
 
 
 @dataclass(slots=True)
 class RequestClass:
-    """One class of request and what an answer to it is worth."""
+    """A class of requests: latency target, deadline, effect, and what an answer is worth."""
 
     name: str = ""
     aim_us: int = 100_000
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """A tenant and the requests a second, over all nodes, that are within its share."""
+    """A tenant and its quota: requests a second at all balancers that are within its share."""
 
     name: str = ""
     quota_per_s: float = 0.0
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True)
 class Settings:
-    """Everything a node is told when it starts."""
+    """All settings of one balancer's policy."""
 
     classes: list[RequestClass] = field(default_factory=lambda: [RequestClass()])
     tenants: list[Tenant] = field(default_factory=list)
@@ -99,7 +99,7 @@
     zone: int = 0
     over_share_worth: float = 0.1
     worth_by_work: bool = False
-    warm_keys: bool = False  # a server does less work for a key that it met lately
+    warm_keys: bool = False  # a server does less work for a key that it has served recently
     discovery_on_request: bool = False
     weight_source: str = "off"  # off, nominal, rough or live
     report_source: str = "off"  # off, inline or on_probe
@@ -113,27 +113,27 @@
     probes: bool = False
     peers: bool = False
     ask_within_us: int = 10_000_000
-    cold_from: float = 1.0  # share of its capacity that a server starts with, at the least
-    cold_us: int = 0  # and the time after which it is warm, at the latest
-    fall_multiple: float = 3.0  # pushed over by this multiple of what it can do at the moment
-    fall_us: int = 2_000_000  # for this long
-    handshake_cost: float = 0.0  # price of a new connection to a server, beside what it takes
-    refusals: tuple[PlanLine, ...] = ()  # what is refused first; empty: what is worth least
-    keep_us: int = 0  # for so long a connection to a server is kept idle; 0: not known
+    cold_from: float = 1.0  # share of its capacity that a server has at its start, lower bound
+    cold_us: int = 0  # time from its start until it has all of it, upper bound
+    fall_multiple: float = 3.0  # sent this multiple of what it can do at the time, it is overloaded
+    fall_us: int = 2_000_000  # ... if that lasts this long
+    handshake_cost: float = 0.0  # price of a new connection to a server, besides the time it takes
+    refusals: tuple[PlanLine, ...] = ()  # what is refused first; empty: requests of the least worth
+    keep_us: int = 0  # how long an idle connection to a server is kept; 0: not known
 
     @property
     def dials_cost(self) -> bool:
-        """Does a new connection to a server cost something?"""
+        """Does a new connection to a server have a cost that reuse saves?"""
         return self.handshake_cost > 0 and self.keep_us > 0
 
     @property
     def queue_index(self) -> int:
-        """Where in `report_fields` a queue is told; -1: nowhere."""
+        """Index in `report_fields` of the queue that servers report; -1: none."""
         indexes = [i for i, name in enumerate(self.report_fields) if name in ("queue", "inflight")]
         return indexes[0] if indexes and self.report_source != "off" else -1
 
     def check(self) -> None:
-        """Raise ValueError, naming the setting, where a value makes no sense."""
+        """Raise ValueError that names the setting if a value is not allowed."""
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         for i, c in enumerate(self.classes):
@@ -164,7 +164,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """One line of the server list."""
+    """An entry of the server list."""
 
     server: ServerId
     state: ServerState = ServerState.READY
@@ -172,7 +172,7 @@
     kind: int = 0
     zone: int = 0
     weight: float = 1.0
-    born_us: int = 0  # clock time of its last start; 0: long ago
+    born_us: int = 0  # clock time of its last start; 0: long ago or not known
 
 
 # Events
@@ -186,16 +186,16 @@
 
 @dataclass(slots=True, init=False)
 class Arrival:
-    """A client's request; the balancer now owes it exactly one final answer."""
+    """A client's request has arrived; the policy owes it exactly one final answer."""
 
     request: int
     class_index: int
     tenant: int
     key: int  # 0: none
-    left_us: int  # until the client gives this try up
+    left_us: int  # time until the client gives up
     work_us: int  # expected work; 0: no hint
     is_retry: bool = False
-    coming: bool = False  # its body still comes: the attempt begins with `BodyComplete`
+    coming: bool = False  # its body is incomplete: the attempt begins at `BodyComplete`
 
     def __init__(
         self,
@@ -215,10 +215,10 @@
 
 @dataclass(slots=True, init=False)
 class AdmissionCheck:
-    """A request's head has come, its body has not: would it be refused now?
+    """Would a request whose head has arrived, and whose body has not, be refused now?
 
-    Answered by `[Refuse(0, retry_after_us)]`, after which it must not arrive, or by `[]`.  Fields are those
-    of its `Arrival`, which counts as demand; one that is shed here counts at once.
+    The answer is `[Refuse(0, retry_after_us)]`, after which it must not arrive, or `[]`.  Its fields are
+    those of its `Arrival`, which is counted as demand; a request that is shed here is counted at once.
     """
 
     class_index: int
@@ -237,7 +237,7 @@
 
 @dataclass(slots=True)
 class BodyComplete:
-    """The last byte of a request that was `coming` has come; `left_us`, in microseconds, counts from now."""
+    """The body of a request that arrived `coming` is complete; `left_us` counts from now."""
 
     request: int
     left_us: int
@@ -245,10 +245,10 @@
 
 @dataclass(slots=True)
 class ProcessOverload:
-    """This process is short of its own means, such as CPU time.
+    """This process lacks resources of its own, such as CPU time.
 
-    `share`, 0..0.95, of the work asked for is to be refused at the least, what is worth least first.  It
-    holds until the next one.  It does not add to the pressure of a late fleet: the larger of both counts.
+    `share`, 0..0.95, is the least part of the demand to refuse, the least worth first.  It holds until the
+    next event of this kind.  It does not add to the shortage of the servers: the larger of both counts.
     """
 
     share: float
@@ -256,46 +256,49 @@
 
 @dataclass(slots=True)
 class ProcessCount:
-    """So many processes, this one among them, are one instance now: what an instance may do is divided."""
+    """How many processes, this one included, are one balancer now and divide what one balancer may do."""
 
     count: int
 
 
 @dataclass(slots=True, frozen=True)
 class SharedStateUpdate:
-    """Figures that balancers share, and this one could also have had alone; each holds until the next event.
-
-    `parts`: among so many balancers, this process among them, is divided what all together may do; it stands
-    for `Settings.instances` times the twins.  0: not known, and those hold.
-    `cold`, `quotas`: this process's share, 0..1, of what all may send to a cold server, or serve of a
-    customer (its number) as within its quota.  One that is absent is divided evenly: 1 / parts.
-    `avoid`: servers that others judge bad, with the clock time until which they do.  It counts like an
-    ejection: at most the module's ejected share of the fleet, after that time one request that can be
-    repeated tries it, and an own good answer ends it until others say so of a later time.  One that a later
-    event leaves out stays as it is till its time.
-    `pressure`, 0..1: the shortage that all see, and `lean`, 0..1, the part of it that counts beside the rest
-    of this one's own; 1: in place of it.  From `stale` on, a clock time (0: never), the own holds alone, as
-    it does for None.  A process's shortage of its own means, `ProcessOverload`, counts beside either.
-
-    `until`: at this clock time a lease ends; from then on no share in `cold` and `quotas` counts for more
-    than `floor`, as a process that was stopped takes requests before it is told anything.  0: they hold.
-    `rest`: of a cold server that is absent from `cold`, no more than this share: what a process's earlier
-    life gave away of it may still be used.
-
-    `wholes`: of a customer's quota in the settings, the part that holds now, 1 for all of it; absent: 1.  It
-    and the share in `quotas` come from different sources and are multiplied.
-
-    `repeats_per_s`: attempts a second beyond each request's first that all balancers may make together;
-    `dials_per_s`: requests a second that all may send to a hall that is lost or returns, each of which may
-    dial.  0: no such bound.  `repeats` and `dials` (a hall's number) are this process's shares of them, as
-    those above.  They bind beside the module's own limits, whichever is the tighter.
-
-    `silent`: halls that do not answer others, by number, with the clock times since when and until when they
-    say so.  Unless it has answered this balancer since, such a hall is in doubt and gets trials only, never
-    lost for that alone.
-
-    What others need of this one is in its `View`: `shortage`, `asked`, and for each server `ejected` and
-    `passed`.
+    """Figures that balancers share, in place of those that this one has alone; each holds until the next
+    event.
+
+    `process_count`: the number of processes, this one included, that divide what all together may do, in
+    place of `Settings.instances` times `ProcessCount`; 0: not known, and these hold.
+    `slow_start_shares`, `quota_shares`: this process's share, 0..1, of what all may send to a server in slow
+    start, or serve of a tenant (by number) as within its quota.  Those absent are divided evenly:
+    1 / process_count.
+    `avoid_until`: servers that others judge bad, and the clock time until which they do.  It counts like an
+    ejection: at most the share of the fleet that the policy ejects is avoided, after that time one request
+    that can be repeated tries the server, and a good answer to this balancer ends it until others name a
+    later time.  A server that a later event leaves out stays avoided until its time.
+    `fleet_shortage`, 0..1: the shortage that all see.  `fleet_shortage_weight`, 0..1: its weight against this
+    balancer's own; 1: in place of it.  From the clock time `fleet_shortage_until` on (0: never), and for
+    None, the own holds alone.  `ProcessOverload` counts besides either.
+
+    `lease_end_us`: from this clock time on no share in `slow_start_shares` and `quota_shares` counts for more
+    than `fallback_share`, since a process that was stopped takes requests before it receives any event.  0:
+    the shares have no end.
+    `max_unlisted_share`: upper bound of the share of a server absent from `slow_start_shares`: what an
+    earlier life of this process gave away of it may still be in use.
+
+    `quota_factors`: the part of a tenant's quota in the settings that holds now, 1 for all of it; absent: 1.
+    It and the share in `quota_shares` come from different sources and are multiplied.
+
+    `retries_per_s`: attempts a second beyond each request's first that all balancers may make together.
+    `dials_per_s`: requests a second that all may send to a zone that is lost or returns, each of which may
+    open a connection.  0: no such bound.  `retry_share` and `dial_shares` (by zone number) are this process's
+    shares of them, as above.  They apply besides the policy's own limits, whichever is tighter.
+
+    `unreachable_zones`: zones that do not answer others, by number, with the clock times since when and until
+    when they report so.  Unless it has answered this balancer since, such a zone is in doubt and gets trials
+    only; it is never lost for that alone.
+
+    What others need from this one is in its `View`: `shortage`, `tenant_rates_per_s`, and for each server
+    `ejected` and `rejected_count`.
     """
 
     process_count: int = 0
@@ -318,15 +321,15 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """These settings hold from now on, for the requests that are open as well.
+    """These settings hold from now on, for open requests as well.
 
-    Classes and customers are those of the start, in their order, with the same aims; so are `instances`, the
+    Classes, their aims and tenants have to be those of the start, in the same order; so do `instances`, the
     quotas, `weight_source`, `report_source` and `report_fields`.
 
-    An open request keeps its deadline, and is held to the stricter of the rule that it came under and each
-    one since: one whose class may run at most once by now is neither repeated nor copied, and a class that
-    may now be repeated may be so for what comes from now on.  What is refused is ranked anew, by what is
-    asked from now on, if ranks have another meaning.
+    An open request keeps its deadline, and follows the strictest of the rule of its arrival and each one
+    since: if its class may run at most once by now, it is neither retried nor hedged; if the class may be
+    repeated from now on, this holds for later arrivals only.  If the ranks of load shedding have changed
+    their meaning, they are counted anew, from the demand that follows.
     """
 
     settings: Settings
@@ -334,8 +337,8 @@
 
 @dataclass(slots=True)
 class SiteOverride:
-    """An operator's word on a hall, by its number: nothing new goes there, or it takes load again, in
-    steps."""
+    """An operator's command on a site, by its number: `out` of service, nothing new goes there; otherwise it
+    takes load again, in steps."""
 
     site: int
     out: bool
@@ -343,7 +346,7 @@
 
 @dataclass(slots=True, init=False)
 class Outcome:
-    """How one attempt ended; `closed`: the request has had its final answer."""
+    """An attempt has ended; `closed`: its request has had its final answer."""
 
     request: int
     attempt: int
@@ -404,7 +407,7 @@
 
 @dataclass(slots=True)
 class ViewQuery:
-    """Asks for a `View`.  It has no effect on any decision, now or later."""
+    """Asks for a `View`; has no effect on any decision, now or later."""
 
 
 Event: TypeAlias = (
@@ -432,12 +435,12 @@
 
 @dataclass(slots=True, init=False)
 class Send:
-    """Start an attempt; those of one request are numbered 0, 1, 2 ... in this order."""
+    """Start an attempt; a request's attempts are numbered 0, 1, 2 ... in the order of these actions."""
 
     request: int
     server: ServerId
     timeout_us: int  # 0: until the client gives up
-    write_by_us: int = 0  # clock time from which on nothing of it may be written; 0: no such time
+    write_by_us: int = 0  # clock time from which nothing of it may be written; 0: no limit
 
     def __init__(self, request: int, server: ServerId, timeout_us: int, write_by_us: int = 0) -> None:
         self.request, self.server, self.timeout_us = request, server, timeout_us
@@ -446,7 +449,7 @@
 
 @dataclass(slots=True, init=False)
 class Refuse:
-    """Final answer: not done, and a retry does no harm."""
+    """Final answer: the request is refused, and a retry does no harm."""
 
     request: int
     retry_after_us: int
@@ -457,14 +460,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, with no promise about the effect."""
+    """Final answer: the request failed; it may have been executed or not."""
 
     request: int
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Give an attempt up; `unsent`: only if nothing of it can have been sent by now."""
+    """Cancel an attempt; `unsent`: only if nothing of it can have been sent yet."""
 
     request: int
     attempt: int
@@ -482,7 +485,7 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask the server list for changes from now on."""
+    """Subscribe to changes of the server list."""
 
 
 @dataclass(slots=True)
@@ -497,12 +500,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerView:
-    """What the module believes of a server.
+    """What the policy knows of a server.
 
-    `eligible`: may a request that can be repeated go there now, its cold budget left aside?  `share`, 0..1:
-    the least part of its capacity that it can have by now.  `load`: own requests in flight, now and on the
-    mean of late, for weight and share.  `passed`: how often it was passed over since its last start, as this
-    balancer's part of its cold budget was used up.
+    `eligible`: may a request that can be repeated go there now, its slow-start budget aside?  `share`, 0..1:
+    lower bound of the part of its capacity that it has by now.  `load`: own requests in flight, now and in
+    the recent mean, per weight and share.  `rejected_count`: how often it was not used since its last start
+    because this balancer's part of its slow-start budget was used up.
     """
 
     server: ServerId
@@ -518,10 +521,10 @@
 
 @dataclass(slots=True)
 class View:
-    """Answer to `Report`: all servers listed, those that drain among them, in the order of their ids; all
-    sites, by number; the share of the demand, 0..1, that the servers had no room for when a request last
-    came, as this balancer alone sees it; of each customer the requests a second that come here; and how
-    often repeats, and requests to a hall, were held back by the bounds of `Heard`."""
+    """Answer to `ViewQuery`: all listed servers, draining ones included, in the order of their ids; all
+    sites, by number; the shortage, 0..1, when a request last arrived, as this balancer alone sees it; the
+    requests a second of each tenant that arrive here; and how often the limits of `SharedStateUpdate`
+    prevented retries, and requests to a zone, by its number."""
 
     servers: list[ServerView]
     sites: list[SiteView] = field(default_factory=list)
--- a/roadlb/policy/logic.py
+++ b/roadlb/policy/logic.py
@@ -1,12 +1,11 @@
-"""The decisions of roadlb.  Settings, events and actions are in roadlb/policy/interface.py.
+"""The policy of roadlb.  Settings, events and actions are in roadlb/policy/interface.py.
 
-LARD with server sets.  A table maps each key to a small server set.  A new set is seeded with the key's
-weighted rendezvous-hash winner if that is below T_low, else with the least loaded server; later requests
-go to the least loaded member.  A member above T_high while some server is below T_low, or at 2 T_high,
-makes the least loaded server join the set and take the request.  Load is this node's own requests in
-flight, now and lately, for the server's capacity; the marks are multiples of the fleet's mean.  The least
-loaded is sought among the next few in the key's order, so that nodes that share nothing grow the same sets.
-"""
+LARD with server sets: a table maps each key to a small server set, whose least loaded member takes a request.
+A new set begins with the key's weighted rendezvous-hash winner if that is below T_low, otherwise with the
+least loaded server.  If that member is above T_high while some server is below T_low, or at 2 T_high, the
+least loaded server joins the set and takes the request.  Load is this balancer's requests in flight, now and
+in the recent mean, per capacity; T_low and T_high are multiples of the fleet's mean.  The least loaded server
+is one of the next few in the key's order, so that balancers that share no state grow the same sets."""
 
 from __future__ import annotations
 
@@ -31,18 +30,18 @@
 from .slow_start import SlowStart
 from .state import Attempt, ClassState, Request, Server, TimerSlots
 
-SAMPLE = 4  # servers looked at for the least loaded
-MAX_OVERLOAD_SHARE = 0.95  # of the demand is refused for want of this node's own means
-MIN_TIME_LEFT_RATIO = 0.5  # less than this part of its class's quickest answer ever: none can be in time
-RETRY_RATIO, HEDGE_RATIO = 0.2, 0.15
+SAMPLE = 4  # servers that are compared to find the least loaded
+MAX_OVERLOAD_SHARE = 0.95  # upper bound of the demand refused for lack of this process's own resources
+MIN_TIME_LEFT_RATIO = 0.5  # a request with less time left, in lowest latencies of its class, is too late
+RETRY_RATIO, HEDGE_RATIO = 0.2, 0.15  # retries and hedges allowed per request
 FAILURES = (Status.ERROR, Status.RESET, Status.CONNECT_FAILED, Status.TIMEOUT, Status.SPOILT)
 TICK_US = 1_000_000
-DRAIN_DIAL_US = 500_000  # a draining server may still be sent what waits for its dial; 1 s is allowed
-TICK, SUBSCRIBE, DRAIN = -1, -2, -3  # notes that are not requests
+DRAIN_DIAL_US = 500_000  # for so long a draining server gets what waits for its dial; 1 s is allowed
+TICK, SUBSCRIBE, DRAIN = -1, -2, -3  # timer entries that are not requests
 
 
 class Balancer:
-    """One node's decisions: feed it events with the clock's time, carry out the actions it returns."""
+    """The decisions of one balancer: pass events with the clock time, carry out the returned actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         settings.check()
@@ -54,14 +53,14 @@
         self.servers = ServerList(self.health, self.warmth)
         self.sets: KeySets[Server] = KeySets(self.servers.servers_for_key)
         self.requests: dict[int, Request] = {}
-        # Requests without a key share one server set, this balancer's own, and so the connections to it.
+        # Requests without a key share one server set of this balancer, and so its connections.
         self.default_key = mix(settings.instance + 1) or 1
         self.fleet, self.sites = self.servers.fleet, Sites()
         self.slow_start = SlowStart()
-        self.shares = Shares(settings.instances)  # of what all together may do
+        self.shares = Shares(settings.instances)  # of what all balancers together may do
         self.shortage, self.local_shortage, self.refusals = 0.0, 0.0, Refusals(settings.refusals)
         self.in_flight_load, self.quotas = WorkInHand(), Quotas([t.quota_per_s for t in settings.tenants])
-        self.overload, self.is_monitored = 0.0, False  # the last one; has any come?
+        self.overload, self.is_monitored = 0.0, False  # the last event; has any come?
         self.aim_us, self.queue_index = min(c.aim_us for c in settings.classes), settings.queue_index
         self.timers = TimerSlots()
         self.now, self.started, self.backoff, self.retries, self.hedges = 0, False, 0, 10.0, 10.0
@@ -83,14 +82,14 @@
         }
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event at clock time `now` and return the actions to carry out, in order."""
+        """Handle an event at clock time `now`; returns the actions to carry out, in order."""
         self.now, self.actions = now, []
-        if type(event) is ViewQuery:  # reads only: it starts nothing, draws no number, moves no mean
+        if type(event) is ViewQuery:  # read only: starts nothing, draws no number, moves no mean
             return [self.view(now)]
         if not self.started:
             self.started, self.fleet.mean_updated_us = True, now
             self.schedule(now + TICK_US, TICK)
-            if self.settings.discovery_on_request:  # nodes that start together must not ask together
+            if self.settings.discovery_on_request:  # balancers that start together must not ask together
                 self.schedule(
                     now + int(self.rng.random() * min(2_000_000, self.settings.ask_within_us // 4)), SUBSCRIBE
                 )
@@ -119,7 +118,7 @@
                 self.actions.append(Subscribe())
 
     def on_tick(self) -> None:
-        """Once a second: what need not be done for each request."""
+        """Do once a second what need not be done for each request."""
         self.schedule(self.now + TICK_US, TICK)
         if any(s.share < 1 for s in self.servers.ready):
             self.rebuild()
@@ -133,11 +132,9 @@
         self.sites.usual([(s.zone, each * s.weight * s.share) for s in self.servers.ready])
         self.sites.tell(self.now, Pulse())
 
-    # The server list
-
     def on_list_update(self, e: ListUpdate) -> None:
         if e.kind is ListKind.FAILED:
-            # Ask again, later each time and each node at its own moment: the list serves all nodes.
+            # Retry with exponential backoff and jitter: the list serves all balancers.
             self.backoff = min(self.backoff + 1, 3)
             self.schedule(self.now + int((0.5 + self.rng.random()) * (1_000_000 << self.backoff)), SUBSCRIBE)
             return
@@ -152,14 +149,11 @@
         self.actions += apply(old, new, self.classes, self.requests, self.refusals, self.warmth, self.rebuild)
 
     def rebuild(self) -> None:
-        """The settings, or the time, have changed what servers can do."""
+        """Rebuild what depends on the capacity of servers: settings, or the time, have changed it."""
         self.servers.rebuild(self.now, self.settings)
         self.slow_start.set_warm_capacity(self.now, self.servers.warm_capacity(self.sites))
 
-    # Load and health
-
     def may_use(self, s: Server, r: Request) -> bool:
-        """May this request go to this server now?"""
         safe = r.cls.spec.effect is Effect.SAFE
         if (
             not s.is_ready
@@ -174,14 +168,13 @@
         )
 
     def slow_start_budget(self, s: Server, r: Request) -> float:
-        """What is left of this node's part of a cold server's budget, in work."""
+        """The work that this balancer may still send to a server in slow start."""
         work = r.work_us or r.cls.base_latency_us
         return self.slow_start.budget(
             self.now, s, work, self.servers, self.shares, self.settings, self.rng.random
         )
 
     def view(self, now: int) -> View:
-        """What is believed of each server, and of each site, at clock time `now`."""
         return View(
             self.servers.views(now, self.aim_us),
             self.sites.view(),
@@ -192,33 +185,31 @@
         )
 
     def record_outcome(self, s: Server, r: Request, status: Status, latency: int, unanswered: bool) -> None:
-        """Learn from an outcome: what answers take, how the server stands, how its site does."""
+        """Update latencies, the health of the server and the state of its site with an outcome."""
         now, cls = self.now, r.cls
         if status is Status.OK:
             s.idle_since_us.append(now)
             if s.share < 1:
                 s.budget.did(now, r.work_us or cls.base_latency_us, self.settings.fall_us)
             if s.share >= 1 or self.shortage <= 0:
-                cls.record_latency(latency)  # while it sheds, a spared one tells nothing of what others wait
+                cls.record_latency(latency)  # while shedding, a spared server says nothing of the others
             self.health.good(s)
             return
         if status is Status.CANCELLED and unanswered:
             if latency > r.cls.spec.aim_us:
-                status = Status.TIMEOUT  # called off, but it never came
+                status = Status.TIMEOUT  # cancelled, but it never came
             self.sites.overtaken(now, s.zone, s.id)
         if status in (Status.FULL, Status.CONNECT_FAILED):
             self.health.turned(now, s, cls.mean_us)
         if status in FAILURES:
             self.health.failed(now, s, status is Status.SPOILT, len(self.servers.ready))
-            # One that had less than the usual time left says nothing of the site: it may have been under way.
+            # With less than the usual time left it says nothing of the site: an answer may have been coming.
             short = status is Status.TIMEOUT and latency < cls.tail_us
             if status is not Status.SPOILT and not short and self.sites.missed(now, s.zone, s.id, r.is_order):
-                for other in self.requests.values():  # what is held up there is no sign of work
+                for other in self.requests.values():  # waiting for that site is no sign of load
                     if other.attempts and other.attempts[-1].server.zone == s.zone:
                         other.end_progress(now, self.in_flight_load)
 
-    # Sets and pick
-
     def least_loaded(self, among: Iterable[Server], r: Request, skip: list[Server], n: int) -> Server | None:
         """The least loaded of the first `n` usable servers."""
         best, least = None, 0.0
@@ -233,14 +224,14 @@
         return best
 
     def random_least_loaded(self, r: Request, tried: list[Server]) -> Server | None:
-        """Nobody in the key's order will do: the least loaded of a random sample."""
+        """The least loaded server of a random sample, if none in the key's order is usable."""
         drawn = [self.rng.choice(self.servers.ready) for _ in range(2 * SAMPLE)] if self.servers.ready else []
         return self.least_loaded(drawn, r, tried, SAMPLE) or self.least_loaded(
             self.servers.ready, r, tried, SAMPLE
         )
 
     def underused(self, r: Request, fraction: float) -> Server | None:
-        """A cold or suspect one, which gets less than it could: its load is under this part of the usual."""
+        """A server in slow start or suspect whose load is below this fraction of the usual."""
         count, mean = len(self.servers.ready), fraction * self.fleet.load(self.now, self.aim_us)
         for n in range(r.key, r.key + min(count, 2 * SAMPLE)):
             s = self.servers.ready[n % count]
@@ -250,7 +241,6 @@
         return None
 
     def pick_server(self, r: Request) -> Server | None:
-        """The server for a request's next attempt."""
         tried, first, spec = [a.server for a in r.attempts], r.earliest_run(), r.cls.spec
         if first and spec.effect is Effect.KEYED and spec.group is not Group.ALL:
             # Only the group of the attempt that may have run discards a repeat; others would run it again.
@@ -266,12 +256,12 @@
             and (site := self.sites.due(self.now)) >= 0
             and (s := self.least_loaded(self.servers.groups.get((Group.ZONE, site), ()), r, tried, SAMPLE))
         ):
-            return s  # a lost site is asked whether it is back, as nobody would choose it
+            return s  # a trial of a lost site, which would not be chosen otherwise
         if not tried and spec.effect is Effect.SAFE and self.shortage > 0 and (s := self.underused(r, 1.0)):
-            return s  # what is warm is left to what only it can do in time
+            return s  # leaves warm servers to requests that only they can answer in time
         s, found = self.pick_from_key_set(r, tried)
         if s and self.dials_cost and not s.connected(self.now, self.settings.keep_us):
-            # Each server that one node uses seldom costs it a dial for nearly every request.
+            # A server that this balancer uses seldom would cost a dial for nearly every request.
             o = self.least_loaded(
                 [o for o in found.order if o.connected(self.now, self.settings.keep_us)],
                 r,
@@ -284,7 +274,7 @@
         return s
 
     def pick_from_key_set(self, r: Request, tried: list[Server]) -> tuple[Server | None, KeySet[Server]]:
-        """The server of the key's set for the next attempt, which may have to join it first; and the set."""
+        """The server for the next attempt, added to the key's set if it is not a member; and the set."""
         now, aim_us, sets = self.now, self.aim_us, self.sets
         found = sets.use(r.key, self.servers.version)
         best = self.least_loaded(found.members, r, tried, len(found.members))
@@ -303,15 +293,13 @@
         found.join(now, other)
         return other, found
 
-    # Attempts
-
     def send(self, r: Request) -> bool:
-        """Start an attempt, if there is a server for it."""
+        """Start an attempt; returns False if no server is usable."""
         s, now = self.pick_server(r), self.now
         if s is None:
             if r.only_site >= 0 or r.spare_only:
                 return False
-            r.last_resort = True  # better one that has failed lately than none
+            r.last_resort = True  # a server that has failed recently is better than none
             if (s := self.pick_server(r)) is None:
                 return False
         self.slow_start.record_sent(s, r.work_us or r.cls.base_latency_us)
@@ -340,7 +328,7 @@
         self.servers.add_in_flight(self.now, self.aim_us, s, 1)
 
     def may_resend(self, r: Request) -> bool:
-        """Do the class, the number of attempts and the time left allow another attempt?"""
+        """Whether the class, the number of attempts, the time left and the budgets allow another attempt."""
         spec, first = r.cls.spec, r.earliest_run()
         if len(r.attempts) >= self.settings.max_attempts or self.now + r.cls.mean_us / 2 > r.deadline_at_us:
             return False
@@ -351,7 +339,7 @@
         ) and self.shares.may_repeat(self.now)
 
     def on_overdue(self, request: int) -> None:
-        """An answer is overdue: note a missed aim, or send a second copy where allowed and of use."""
+        """An answer is overdue: record a missed latency target, or send a hedge if allowed and useful."""
         r = self.requests.get(request)
         if not r or r.closed or r.streaming:
             return
@@ -387,7 +375,7 @@
                 self.in_flight_load.answered(self.now)
         self.record_outcome(s, r, e.status, e.latency_us, unanswered=a.sent_us > s.heard)
         if e.status is Status.FULL and s.fulls == 1:
-            # Work turned away again and again says that a server drains, not that there is too much work.
+            # A server that rejects repeatedly is draining, which is no sign of too much work.
             self.in_flight_load.turned(self.now, r.cls.spec.aim_us)
         if e.closed or r.closed:
             self.close(r)
@@ -399,7 +387,7 @@
             self.give_up(r)
 
     def give_up(self, r: Request) -> None:
-        """The final answer: a refusal where that is honest, else a failure."""
+        """Give the final answer: a refusal if a retry does no harm, otherwise a failure."""
         effect, group = r.cls.spec.effect, r.cls.spec.group
         if not r.earliest_run() or effect is Effect.SAFE or (effect is Effect.KEYED and group is Group.ALL):
             self.refuse(r.id, r.cls)
@@ -412,7 +400,7 @@
         self.actions.append(Refuse(request, min(self.settings.max_retry_after_us, wait)))
 
     def close(self, r: Request) -> None:
-        """Answered: call off what is still out."""
+        """The request has its final answer: cancel the attempts that are still open."""
         if not r.closed:
             r.closed = True
             r.end_progress(self.now, self.in_flight_load)
@@ -431,7 +419,7 @@
     def on_client_gone(self, e: ClientGone) -> None:
         if r := self.requests.get(e.request):
             self.close(r)
-            # What may run to its end must not begin any more.
+            # Attempts that may run to their end must not begin any more.
             self.actions += [Cancel(r.id, n, unsent=True) for n, _ in r.open_uncancelled()]
 
     def on_stream_started(self, e: StreamStarted) -> None:
@@ -440,8 +428,6 @@
             r.streaming = True
             r.end_progress(self.now, self.in_flight_load)
 
-    # Admission
-
     def on_arrival(self, e: Arrival) -> None:
         cls = self.classes[e.class_index]
         key = e.key or self.default_key
@@ -451,7 +437,7 @@
         self.retries, self.hedges = min(20, self.retries + RETRY_RATIO), min(20, self.hedges + HEDGE_RATIO)
         shed = self.should_shed(e, cls)
         if shed and cls.spec.effect is Effect.SAFE:
-            # A balancer that refuses all but orders would never ask whether a lost site is back.
+            # Otherwise a balancer that refuses all but orders would never try a lost site.
             r.only_site = self.sites.spare(self.now)
             r.spare_only = r.only_site < 0 and bool(self.servers.ready)
         if shed and r.only_site < 0 and not r.spare_only or self.is_too_late(e, cls) or not self.send(r):
@@ -461,7 +447,7 @@
             r.start_progress(self.now, self.in_flight_load)
 
     def on_body_complete(self, e: BodyComplete) -> None:
-        """Only now can a server begin with it: till then it was neither load nor late."""
+        """A server can begin with the request only now: until then it was neither load nor late."""
         if (r := self.requests.get(e.request)) and r.uploading and not r.closed:
             r.uploading, r.deadline_at_us, r.due = (
                 False,
@@ -507,16 +493,16 @@
             self.sites.tell(self.now, Doubted(site, since, until))
 
     def measure_shortage(self) -> float:
-        """The share of the demand that the servers have no room for."""
+        """The share of the demand that the servers have no capacity for."""
         self.local_shortage = self.in_flight_load.shortage(self.now)
         return self.shares.shortage(self.now, self.local_shortage)
 
     def is_too_late(self, e: Arrival | AdmissionCheck, cls: ClassState) -> bool:
-        """Can no answer be in time?  A node would work for nothing, and be blamed for the time-out."""
+        """No answer can be in time: a server would work in vain and be blamed for the timeout."""
         return self.is_monitored and e.left_us < MIN_TIME_LEFT_RATIO * cls.min_latency_us
 
     def should_shed(self, e: Arrival | AdmissionCheck, cls: ClassState, coming: bool = False) -> bool:
-        # What is still `coming`, and is not refused now, is counted when it arrives.
+        """Load shedding by worth per work; a request `coming` is counted here only if it is refused."""
         worth, tenants = cls.spec.worth, self.settings.tenants
         if not coming:
             self.quotas.ask(e.tenant)
@@ -536,7 +522,7 @@
         shed_share = max(self.shortage, self.overload)
         if shed_share <= 0:
             return False
-        # Among equals the key decides, alike on all nodes: what is served then stays the same, and cached.
+        # Within a rank the key decides, alike on all balancers: those served stay the same, and cached.
         tie_break = (mix(e.key) & HASH) / HASH if e.key else self.rng.random()
         refused = self.refusals.refused(rank, tie_break, shed_share)
         if refused and coming:
--- a/roadlb/policy/server_list.py
+++ b/roadlb/policy/server_list.py
@@ -1,8 +1,9 @@
-"""The server list as one balancer holds it, and what is looked up in it for each request.  No I/O.
+"""The server list of one balancer and the lookups that each request needs.  No I/O.
 
 lookup       changes with
-`servers`    the list: all that are named, those that drain among them
-the others   `rebuild`: after the list, once a second while any is cold, and when a zone has come back cold
+`by_id`      the list: all servers that it names, draining ones included
+the others   `rebuild`: after the list, once a second while a server is in slow start, and when a zone has
+             returned and its servers are in slow start
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 from .interface import Group, ListKind, ListUpdate, Member, ServerId, ServerState, ServerView, Settings
 from .state import Server
 
-OTHER_ZONE_FACTOR = 4.0  # a server in another zone comes after so many as good ones in our own
+OTHER_ZONE_FACTOR = 4.0  # a server of another zone ranks as one with a quarter of its capacity in this zone
 
 
 class ServerList:
-    """All servers, those that are ready, and their capacity in all."""
+    """All listed servers, the ready ones among them, and their total capacity."""
 
     __slots__ = (
         "by_id",
@@ -37,19 +38,19 @@
     def __init__(self, health: Standings, warmth: Warmth) -> None:
         self.health = health
         self.warmth = warmth
-        self.fleet = Server(b"")  # stands for all of them
+        self.fleet = Server(b"")  # a pseudo-server that stands for all of them: total load and capacity
         self.by_id: dict[ServerId, Server] = {}
-        self.ready: list[Server] = []  # listed as ready, by id
-        self.groups: dict[tuple[int, int], list[Server]] = {}  # of them, by (cell or zone, its number)
-        self.key_order = KeyOrder()  # of the same positions as `ready`
-        self.version = 0  # of `ready`
-        self.capacity = 1.0  # what those that are ready can do by now, at the least
-        self.slow_start_part = 0.0  # of it, the share of those that are cold
+        self.ready: list[Server] = []  # in the order of their ids
+        self.groups: dict[tuple[int, int], list[Server]] = {}  # ready servers by (CELL or ZONE, number)
+        self.key_order = KeyOrder()  # its positions are those of `ready`
+        self.version = 0  # incremented when `ready` changes
+        self.capacity = 1.0  # of all ready servers by now, lower bound
+        self.slow_start_part = 0.0  # the part of it that servers in slow start have
 
     def apply(self, now: int, update: ListUpdate, settings: Settings, aim_us: int) -> bool:
-        """Take over a whole list, or the changes to one; what a whole list does not name is gone.
+        """Apply a whole list, or changes to it; servers that a whole list does not name are removed.
 
-        Has any that was ready left, or does it drain?  `rebuild` has to follow.
+        Returns whether a ready server was removed or began to drain.  The caller has to `rebuild`.
         """
         any_left = False
         present = [member for member in update.members if member.state is not ServerState.GONE]
@@ -67,36 +68,36 @@
         return any_left
 
     def _update_server(self, now: int, member: Member, settings: Settings, aim_us: int) -> bool:
-        """One server, as it is listed.  Was it ready, and is so no more?"""
+        """Apply the entry of one server; returns whether it was ready and is no longer."""
         s = self.by_id.get(member.server)
         if s is None:
             s = self.by_id[member.server] = Server(
                 member.server, started_us=member.born_us, zone=member.zone, mean_updated_us=now
             )
-            # Not heard from: at half the others' mean, for what it can do by now.
+            # It starts at half the mean load of the fleet, for the capacity that it has by now.
             s.mean_in_flight = (
                 self.fleet.load(now, aim_us) * member.weight * s.capacity_share_at(self.warmth, now) / 2
             )
         elif member.born_us != s.started_us:
-            # A fresh process under an old name: nothing said of the old one counts.
+            # It has restarted: the health of the former process does not count.
             self.health.fresh(s)
             s.started_us, s.idle_since_us = member.born_us, []
         was_ready = s.is_ready
         s.is_ready, s.cell, s.zone = member.state is ServerState.READY, member.cell, member.zone
         if member.weight > 0 and settings.weight_source != "off":
-            # A live weight falls and rises with load; the most it has been comes nearest to a size.
+            # A live weight varies with load; its maximum is closest to the server's size.
             s.weight = max(member.weight, s.weight) if settings.weight_source == "live" else member.weight
         return was_ready and not s.is_ready
 
     def rebuild(self, now: int, settings: Settings) -> None:
-        """Set up what is looked up for each request: who is ready, at what capacity, in which group."""
+        """Rebuild the lookups: ready servers, their capacities and groups, and the order for keys."""
         self.version += 1
         self.ready = sorted((s for s in self.by_id.values() if s.is_ready), key=lambda s: s.id)
         self.groups = {}
         for s in self.ready:
             share = s.capacity_share_at(self.warmth, now)
             if share < s.share:
-                s.budget = ColdBudget()  # a fresh process, or it may be
+                s.budget = ColdBudget()  # it has restarted, or may have
             s.share = share
             s.unit_load = 1 / (s.weight * s.share)
             self.groups.setdefault((Group.CELL, s.cell), []).append(s)
@@ -111,30 +112,30 @@
         )
 
     def warm_capacity(self, sites: Sites) -> float:
-        """The capacity of warm servers that take requests: neither ejected nor in a zone that is away."""
+        """The capacity of warm servers that take requests: not ejected, nor in an impaired zone."""
         return sum(
             s.weight for s in self.ready if s.share >= 1 and not s.eject_until and not sites.away(s.zone)
         )
 
     def servers_for_key(self, key: int, count: int) -> list[Server]:
-        """The first few servers of a key's weighted rendezvous order."""
+        """The first `count` servers of a key's weighted rendezvous order."""
         return [self.ready[i] for i in self.key_order.first(key, count)]
 
     def start_times(self) -> dict[int, dict[bytes, int]]:
-        """Of each zone, those that are ready, with the clock time of their start."""
+        """The clock times at which ready servers started, by zone and server id."""
         zones: dict[int, dict[bytes, int]] = {}
         for s in self.ready:
             zones.setdefault(s.zone, {})[s.id] = s.started_us
         return zones
 
     def add_in_flight(self, now: int, aim_us: int, s: Server, change: int) -> None:
-        """So many more of our own attempts are in flight there."""
+        """Add to the number of own attempts in flight at a server and in the fleet."""
         s.load(now, aim_us)
         s.in_flight += change
         self.fleet.load(now, aim_us)
         self.fleet.in_flight += change
 
     def views(self, now: int, aim_us: int) -> list[ServerView]:
-        """What is believed of each, in the order of their ids."""
+        """The views of all listed servers, in the order of their ids."""
         servers = sorted(self.by_id.values(), key=lambda s: s.id)
         return [s.view(now, s.capacity_share_at(self.warmth, now), aim_us) for s in servers]
--- a/roadlb/policy/slow_start.py
+++ b/roadlb/policy/slow_start.py
@@ -1,9 +1,10 @@
-"""What one balancer may send to cold servers, of what all balancers together may.  No I/O.
+"""Limits what one balancer sends to servers in slow start to its part of what all may send.  No I/O.
 
-`roadlb.routing.cold` has the budget of one server; here is what it follows from: what a capacity of 1 was
-seen to carry, the work of a request in the mean, and the pace of cold servers.  What a capacity carries is
-seen at warm servers: what cold ones are sent follows from it, and would prove itself.  While none is warm it
-stays as it was; a balancer that has never known a warm one goes by what it sends to cold ones.
+`roadlb.routing.slow_start_budget` has the budget of one server.  This module measures its inputs: the work a
+second that a capacity of 1 serves, the mean work of a request, and the throughput of servers in slow start.
+The work per capacity is measured at warm servers only: servers in slow start are sent work by this figure, so
+that measuring it there would confirm itself.  While no server is warm the figure stays as it was; a balancer
+that has never seen a warm one uses what it sends to servers in slow start.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 from .server_list import ServerList
 from .state import Attempt, Server
 
-LATEST_SECOND_WEIGHT = 0.25  # the part that the last second has in the mean of what is carried
+LATEST_SECOND_WEIGHT = 0.25  # weight of the last second in the mean of the work sent
 
 
 class SlowStart:
-    """One balancer's accounts of the work that it sends."""
+    """Accounts for the work that one balancer sends."""
 
     __slots__ = (
         "_has_seen_warm",
@@ -36,25 +37,25 @@
     )
 
     def __init__(self) -> None:
-        self._sent_work = 0.0  # work, in this second
+        self._sent_work = 0.0  # work sent in this second
         self._sent_work_warm = 0.0  # of it, to warm servers
-        self._warm_capacity = 0.0  # their capacity, since `_at`
+        self._warm_capacity = 0.0  # of warm servers, since `_updated_us`
         self._updated_us = 0
-        self._warm_capacity_us = 0.0  # capacity times its time, in this second till then
-        self._has_seen_warm = False  # has there been any yet?
-        self.work_per_s = 0.0  # work a second that this balancer sends, in the mean of late
-        self.work_per_capacity_s = 0.0  # the same for a capacity of 1
-        self.mean_work = 0.0  # work of one request, in the mean of late
-        self.pace = Pace()  # of cold servers
+        self._warm_capacity_us = 0.0  # integral of it over this second, until `_updated_us`
+        self._has_seen_warm = False  # has any server been warm yet?
+        self.work_per_s = 0.0  # work a second that this balancer sends, recent mean
+        self.work_per_capacity_s = 0.0  # the same, per capacity of warm servers
+        self.mean_work = 0.0  # work of one request, recent mean
+        self.pace = Pace()  # throughput of servers in slow start
 
     def set_warm_capacity(self, now: int, warm_capacity: float) -> None:
-        """From now on warm servers have this capacity."""
+        """Set the capacity that warm servers have from now on."""
         self._warm_capacity_us += self._warm_capacity * (now - self._updated_us)
         self._updated_us = now
         self._warm_capacity = warm_capacity
 
     def tick(self, now: int, warm_capacity: float, capacity: float) -> None:
-        """Once a second: capacities of warm servers and of all."""
+        """Update the means, once a second; the capacities are those of warm servers and of all."""
         self.set_warm_capacity(now, warm_capacity)
         self.pace.fade()
         self.work_per_s += (self._sent_work - self.work_per_s) * LATEST_SECOND_WEIGHT
@@ -70,7 +71,7 @@
         self._warm_capacity_us = 0.0
 
     def record_sent(self, server: Server, work: float) -> None:
-        """An attempt goes to this server."""
+        """Account for an attempt that goes to this server."""
         self._sent_work += work
         self.mean_work += (work - self.mean_work) * (0.02 if self.mean_work else 1.0)
         if server.share < 1:
@@ -79,13 +80,13 @@
             self._sent_work_warm += work
 
     def record_begun(self, now: int, attempt: Attempt) -> None:
-        """The server can begin with it now."""
+        """Account for an attempt that its server can begin with now."""
         if attempt.server.share < 1:
             attempt.slow_start_capacity = attempt.server.weight * attempt.server.share
             self.pace.hold(now, attempt.slow_start_capacity)
 
     def record_ended(self, now: int, attempt: Attempt, work: float, answered: bool) -> None:
-        """It is over; `answered`: well."""
+        """Account for an attempt that has ended; `answered`: with a good answer."""
         if attempt.slow_start_capacity:
             self.pace.hold(now, -attempt.slow_start_capacity)
             if answered:
@@ -101,7 +102,10 @@
         settings: Settings,
         chance: Callable[[], float],
     ) -> float:
-        """What is left of this balancer's part of a cold server's budget, in work."""
+        """The work that this balancer may still send to a server in slow start.
+
+        `chance()`: a random number 0..1 of this balancer's own.
+        """
         capacity_per_s = (
             server.share
             * server.weight
--- a/roadlb/policy/state.py
+++ b/roadlb/policy/state.py
@@ -1,4 +1,4 @@
-"""The records that `roadlb.policy.logic` keeps: servers, requests, notes for later.  It decides nothing."""
+"""Records of servers, classes, requests, attempts and timers that `roadlb.policy.logic` decides with."""
 
 from __future__ import annotations
 
@@ -12,50 +12,49 @@
 from ..sites.work_in_hand import WorkInHand
 from .interface import Effect, RequestClass, ServerId, ServerView, SetTimer
 
-LOAD_MEMORY_US = 2_000_000  # memory of a server's mean load
-TIMER_SLOT_US = 5_000  # a note is read so much late at the most
+LOAD_MEMORY_US = 2_000_000  # time constant of the mean of requests in flight at a server
+TIMER_SLOT_US = 5_000  # an entry is read at most this late
 
 
 @dataclass(slots=True, eq=False)
 class Server(Standing):
-    """What this node knows of one server; how it stands with it is its `Standing`."""
+    """What this balancer knows of one server; its health is in the base class."""
 
     id: ServerId
-    started_us: int = 0  # clock time of its last start; 0: long ago
-    mean_updated_us: int = 0  # when `mean` was last brought up to date
+    started_us: int = 0  # clock time of its last start; 0: long ago or not known
+    mean_updated_us: int = 0  # when `mean_in_flight` was last brought up to date
     cell: int = 0
     zone: int = 0
-    weight: float = 1.0  # its size against the others'
-    is_ready: bool = True  # listed as ready
-    share: float = 1.0  # the part of its capacity that it has by now, at the least
-    unit_load: float = 1.0  # 1 / (weight x share)
-    in_flight: int = 0  # own attempts in flight
-    mean_in_flight: float = 0.0  # the same on the mean of late
-    queue_share: float = 0.0  # this node's part of a reported queue, when it was reported
-    reported_us: int = 0
-    queue: float = 0.0  # the whole of that queue
+    weight: float = 1.0  # its size relative to other servers
+    is_ready: bool = True  # the server list has it as ready
+    share: float = 1.0  # lower bound of the part of its capacity that it has by now, 0..1
+    unit_load: float = 1.0  # load that one request in flight adds: 1 / (weight x share)
+    in_flight: int = 0  # attempts of this balancer in flight there
+    mean_in_flight: float = 0.0  # their recent mean
+    queue_share: float = 0.0  # this balancer's part of `queue`, as of `reported_us`
+    reported_us: int = 0  # when it last reported its queue
+    queue: float = 0.0  # the queue that it reported, of all balancers
     budget: ColdBudget = field(default_factory=ColdBudget)
-    idle_since_us: list[int] = field(
-        default_factory=list
-    )  # when each connection that idles there came to rest
+    # When each idle connection to it became idle, the longest idle first.
+    idle_since_us: list[int] = field(default_factory=list)
     hash: int = field(init=False)
 
     def __post_init__(self) -> None:
         self.hash = mix(int.from_bytes(self.id, "big")) & HASH
 
     def capacity_share_at(self, warmth: Warmth, now: int) -> float:
-        """The least part of its capacity that it can have by now."""
+        """A lower bound of the part of its capacity that it has at this time."""
         return warmth.part(now, self.zone, self.started_us)
 
     def load(self, now: int, aim_us: int) -> float:
-        """Own requests in flight, now and on the mean of late, for the capacity; plus a reported queue."""
+        """Own requests in flight, now and in the recent mean, and a reported queue, per capacity."""
         elapsed_us = now - self.mean_updated_us
         if elapsed_us > 0:
             self.mean_in_flight += (
                 (self.in_flight - self.mean_in_flight) * elapsed_us / (elapsed_us + LOAD_MEMORY_US)
             )
             self.mean_updated_us = now
-        if self.queue_share:  # it has been worked off since, though nothing was sent there that would tell
+        if self.queue_share:  # served meanwhile, though no request has brought a newer report
             age_aims = (now - self.reported_us) / aim_us
             return (
                 self.mean_in_flight + self.in_flight + self.queue_share / (1 + age_aims * age_aims)
@@ -63,12 +62,12 @@
         return (self.mean_in_flight + self.in_flight) * self.unit_load
 
     def reported_load(self, now: int, aim_us: int) -> float:
-        """Of the requests that it reported, those still there, for the capacity."""
+        """An estimate of how many requests of the queue it last reported still wait, per capacity."""
         age_aims = (now - self.reported_us) / aim_us
         return self.queue / (1 + age_aims * age_aims) * self.unit_load
 
     def view(self, now: int, share: float, patience_us: int) -> ServerView:
-        """What is believed of it, which has this part of its capacity by now."""
+        """The view of this server, which has this share of its capacity by now."""
         elapsed_us = max(0, now - self.mean_updated_us)
         mean_in_flight = self.mean_in_flight + (self.in_flight - self.mean_in_flight) * elapsed_us / (
             elapsed_us + LOAD_MEMORY_US
@@ -86,33 +85,31 @@
         )
 
     def connected(self, now: int, keep_us: int) -> bool:
-        """Does a connection idle there that a request could take, where each is kept for `keep` us?"""
+        """Is there an idle connection to it that a request could use?  Each is kept for `keep_us`."""
         idle_since_us = self.idle_since_us
-        while (
-            idle_since_us and now - idle_since_us[0] > keep_us
-        ):  # the longest idle ends first; the last is taken first
+        # The longest idle connection is closed first; the last one that became idle is used first.
+        while idle_since_us and now - idle_since_us[0] > keep_us:
             del idle_since_us[0]
         return bool(idle_since_us)
 
 
 @dataclass(slots=True, eq=False)
 class ClassState:
-    """A class of request with what its answers have taken of late."""
+    """A class of requests and the recent latencies of its answers."""
 
     spec: RequestClass
-    mean_us: float
-    tail_us: float  # about the ninetieth percentile
-    min_latency_us: int = -1  # of all its good answers; -1 before the first
-    listed_class: ClassState | None = None  # requests that keep a former rule of this class
-    base_latency_us: float = field(
-        init=False
-    )  # the least that `latency` has been: its work, against other classes
+    mean_us: float  # recent mean
+    tail_us: float  # about the 90th percentile
+    min_latency_us: int = -1  # of all good answers; -1 before the first
+    listed_class: ClassState | None = None  # for open requests under a former rule: their class
+    # The lowest value that `mean_us` has had: stands for the work of a request without a hint.
+    base_latency_us: float = field(init=False)
 
     def __post_init__(self) -> None:
         self.base_latency_us = self.mean_us
 
     def record_latency(self, took_us: int) -> None:
-        """A good answer took so long."""
+        """Update the latencies with a good answer."""
         self.min_latency_us = took_us if self.min_latency_us < 0 else min(took_us, self.min_latency_us)
         self.mean_us += (took_us - self.mean_us) * 0.02
         self.base_latency_us = min(self.base_latency_us, self.mean_us)
@@ -122,7 +119,7 @@
 
 
 class Attempt:
-    """One send of a request to a server, at clock time `sent`."""
+    """One attempt of a request at a server, sent at clock time `sent_us`."""
 
     __slots__ = ("cancelled", "is_open", "may_have_run", "sent_us", "server", "slow_start_capacity")
 
@@ -130,12 +127,12 @@
         self.server, self.sent_us = server, sent_us
         self.is_open = True
         self.cancelled = False
-        self.slow_start_capacity = 0.0  # of the capacity of cold servers
-        self.may_have_run = True  # it may have; taken back by an outcome that proves that it did not
+        self.slow_start_capacity = 0.0  # capacity that it occupies, if its server is in slow start
+        self.may_have_run = True  # until an outcome proves that it did not
 
 
 class Request:
-    """A request with its attempts, until all of them are over."""
+    """A request and its attempts; kept until all of them have ended."""
 
     __slots__ = (
         "attempts",
@@ -167,22 +164,22 @@
         due: int,
         uploading: bool = False,
     ) -> None:
-        self.uploading = uploading  # no server has begun with it, as its body still comes
+        self.uploading = uploading  # its body is not complete, so no server has begun with it
         self.id, self.cls, self.key, self.work_us = id, cls, key, work_us
-        self.is_order = cls.spec.effect is not Effect.SAFE  # it may not be repeated at will
-        self.deadline_at_us = deadline_at_us  # the client gives this try up then
-        self.due = due  # the answer is wanted by then
+        self.is_order = cls.spec.effect is not Effect.SAFE  # it may not run any number of times
+        self.deadline_at_us = deadline_at_us  # clock time at which the client gives up
+        self.due = due  # clock time of the latency target
         self.attempts: list[Attempt] = []
-        self.open_attempts = 0  # attempts in flight
+        self.open_attempts = 0
         self.closed = self.streaming = False
-        self.is_late = False  # not answered when due
-        self.only_site = -1  # it goes to this one or nowhere: no other has room for it
-        self.spare_only = False  # it goes to a server that gets less than it could, or nowhere
-        self.in_progress = False  # counts as work in hand
-        self.last_resort = False  # may go to a suspect server, as there is no other
+        self.is_late = False  # not answered at `due`
+        self.only_site = -1  # may go to this site only, as no other has capacity for it; -1: to any
+        self.spare_only = False  # may go only to a server that gets less load than it could take
+        self.in_progress = False  # is counted in the load in flight
+        self.last_resort = False  # may go to a suspect server, as no other is usable
 
     def open_uncancelled(self, except_attempt: int = -1) -> list[tuple[int, Attempt]]:
-        """The attempts in flight that are not called off, by number, except one."""
+        """Attempts in flight that are not cancelled, with their numbers, but for one of them."""
         return [
             (n, attempt)
             for n, attempt in enumerate(self.attempts)
@@ -190,7 +187,7 @@
         ]
 
     def start_progress(self, now: int, in_flight_load: WorkInHand) -> None:
-        """It is in work now, till it is let go: answered, given up, or late."""
+        """Count it in the load in flight until it is answered, given up or late."""
         self.in_progress = True
         in_flight_load.began(now, self.cls.spec.aim_us)
 
@@ -200,12 +197,15 @@
             in_flight_load.ended(now, self.cls.spec.aim_us)
 
     def write_by_us(self) -> int:
-        """A repeat has to reach its server while what may have run is remembered; 0: at any time."""
+        """Clock time by which a retry has to be written; 0: at any time.
+
+        Servers discard a repeat of a keyed request only within a window after an attempt that may have run.
+        """
         first = self.earliest_run() if self.attempts and self.cls.spec.effect is Effect.KEYED else None
         return first.sent_us + self.cls.spec.window_us if first else 0
 
     def earliest_run(self) -> Attempt | None:
-        """The earliest attempt that may have run, or may be running."""
+        """The earliest attempt that may have run or may be running."""
         for attempt in self.attempts:
             if attempt.may_have_run:
                 return attempt
@@ -213,7 +213,7 @@
 
 
 class TimerSlots:
-    """A timer wheel; a slot costs one timer, whatever it holds."""
+    """Entries by clock time, in slots of TIMER_SLOT_US; all entries of a slot share one timer."""
 
     __slots__ = ("_slots",)
 
@@ -221,7 +221,7 @@
         self._slots: dict[int, list[int]] = {}
 
     def schedule(self, at: int, entry: int) -> SetTimer | None:
-        """Keep a note until clock time `at`; the timer to set for it, if none is set for its slot yet."""
+        """Keep an entry until clock time `at`; returns the timer to set, unless its slot has one."""
         slot = at // TIMER_SLOT_US + 1
         entries = self._slots.get(slot)
         if entries is not None:
@@ -231,5 +231,5 @@
         return SetTimer(slot * TIMER_SLOT_US, slot)
 
     def pop(self, token: int) -> Sequence[int]:
-        """The notes of the timer with this token, which has fired, in their order."""
+        """Remove and return the entries of the timer that has fired, in the order of insertion."""
         return self._slots.pop(token, ())
