--- a/benchmarks/sites_account.py
+++ b/benchmarks/sites_account.py
@@ -126,7 +126,7 @@
         number, at = known.get(self, (len(known), -VIEW_US))
         if self.now - at >= VIEW_US:
             known[self] = number, self.now
-            hand = self.in_flight_load
+            hand = self.fleet_load
             seen.append(
                 (
                     self.now,
--- a/roadlb/policy/logic.py
+++ b/roadlb/policy/logic.py
@@ -59,7 +59,7 @@
         self.slow_start = SlowStart()
         self.shares = Shares(settings.instances)  # of what all balancers together may do
         self.shortage, self.local_shortage, self.refusals = 0.0, 0.0, Refusals(settings.refusals)
-        self.in_flight_load, self.quotas = WorkInHand(), Quotas([t.quota_per_s for t in settings.tenants])
+        self.fleet_load, self.quotas = WorkInHand(), Quotas([t.quota_per_s for t in settings.tenants])
         self.overload, self.is_monitored = 0.0, False  # the last event; has any come?
         self.aim_us, self.queue_index = min(c.aim_us for c in settings.classes), settings.queue_index
         self.timers = TimerSlots()
@@ -208,7 +208,7 @@
             if status is not Status.SPOILT and not short and self.sites.missed(now, s.zone, s.id, r.is_order):
                 for other in self.requests.values():  # waiting for that site is no sign of load
                     if other.attempts and other.attempts[-1].server.zone == s.zone:
-                        other.end_progress(now, self.in_flight_load)
+                        other.end_progress(now, self.fleet_load)
 
     def least_loaded(self, among: Iterable[Server], r: Request, skip: list[Server], n: int) -> Server | None:
         """The least loaded of the first `n` usable servers."""
@@ -345,7 +345,7 @@
             return
         if self.now >= r.due and not r.is_late:
             r.is_late = True
-            r.end_progress(self.now, self.in_flight_load)
+            r.end_progress(self.now, self.fleet_load)
         if (
             self.settings.second_copies
             and r.open_attempts == 1
@@ -372,11 +372,11 @@
             s.heard = self.now
             self.sites.answered(self.now, s.zone, r.is_order, e.latency_us)
             if e.status is not Status.FULL:
-                self.in_flight_load.answered(self.now)
+                self.fleet_load.answered(self.now)
         self.record_outcome(s, r, e.status, e.latency_us, unanswered=a.sent_us > s.heard)
         if e.status is Status.FULL and s.fulls == 1:
             # A server that rejects repeatedly is draining, which is no sign of too much work.
-            self.in_flight_load.turned(self.now, r.cls.spec.aim_us)
+            self.fleet_load.turned(self.now, r.cls.spec.aim_us)
         if e.closed or r.closed:
             self.close(r)
         elif r.open_attempts:
@@ -403,7 +403,7 @@
         """The request has its final answer: cancel the attempts that are still open."""
         if not r.closed:
             r.closed = True
-            r.end_progress(self.now, self.in_flight_load)
+            r.end_progress(self.now, self.fleet_load)
             self.cancel_attempts(r)
         if not r.open_attempts:
             self.requests.pop(r.id, None)
@@ -426,7 +426,7 @@
         if r := self.requests.get(e.request):
             self.cancel_attempts(r, except_attempt=e.attempt)
             r.streaming = True
-            r.end_progress(self.now, self.in_flight_load)
+            r.end_progress(self.now, self.fleet_load)
 
     def on_arrival(self, e: Arrival) -> None:
         cls = self.classes[e.class_index]
@@ -444,7 +444,7 @@
             self.give_up(r)
         elif not r.uploading:
             self.schedule(r.due, r.id)
-            r.start_progress(self.now, self.in_flight_load)
+            r.start_progress(self.now, self.fleet_load)
 
     def on_body_complete(self, e: BodyComplete) -> None:
         """A server can begin with the request only now: until then it was neither load nor late."""
@@ -459,7 +459,7 @@
                     a.sent_us = self.now
                     self.begin_attempt(a)
             self.schedule(r.due, r.id)
-            r.start_progress(self.now, self.in_flight_load)
+            r.start_progress(self.now, self.fleet_load)
 
     def on_admission_check(self, e: AdmissionCheck) -> None:
         cls = self.classes[e.class_index]
@@ -494,7 +494,7 @@
 
     def measure_shortage(self) -> float:
         """The share of the demand that the servers have no capacity for."""
-        self.local_shortage = self.in_flight_load.shortage(self.now)
+        self.local_shortage = self.fleet_load.shortage(self.now)
         return self.shares.shortage(self.now, self.local_shortage)
 
     def is_too_late(self, e: Arrival | AdmissionCheck, cls: ClassState) -> bool:
--- a/roadlb/policy/state.py
+++ b/roadlb/policy/state.py
@@ -186,15 +186,15 @@
             if attempt.is_open and not attempt.cancelled and n != except_attempt
         ]
 
-    def start_progress(self, now: int, in_flight_load: WorkInHand) -> None:
+    def start_progress(self, now: int, fleet_load: WorkInHand) -> None:
         """Count it in the load in flight until it is answered, given up or late."""
         self.in_progress = True
-        in_flight_load.began(now, self.cls.spec.aim_us)
+        fleet_load.began(now, self.cls.spec.aim_us)
 
-    def end_progress(self, now: int, in_flight_load: WorkInHand) -> None:
+    def end_progress(self, now: int, fleet_load: WorkInHand) -> None:
         if self.in_progress:
             self.in_progress = False
-            in_flight_load.ended(now, self.cls.spec.aim_us)
+            fleet_load.ended(now, self.cls.spec.aim_us)
 
     def write_by_us(self) -> int:
         """Clock time by which a retry has to be written; 0: at any time.
--- a/tests/overload/test_policy_events.py
+++ b/tests/overload/test_policy_events.py
@@ -112,7 +112,7 @@
     node.mixed(1_000)
     node.do(ProcessOverload(own))
     for _ in range(in_hand):
-        node.b.in_flight_load.began(node.now, 100_000)
+        node.b.fleet_load.began(node.now, 100_000)
     count = 0
     for _ in range(2_000):
         count += not node.ask(READ if node.luck.random() < 0.7 else ORDER, node.luck.randrange(1, 1_000))
--- a/tests/policy/test_changed.py
+++ b/tests/policy/test_changed.py
@@ -197,7 +197,7 @@
     for request, server in enumerate(servers, 1):
         node.end(server, request=request)
     assert (
-        node.b.in_flight_load.out == 0
+        node.b.fleet_load.out == 0
         and not node.b.requests
         and all(s.in_flight == 0 for s in node.b.servers.ready)
     )
