--- a/roadlb/engine.py
+++ b/roadlb/engine.py
@@ -18,35 +18,35 @@
 from .log import fields
 from .policy.interface import (
     Action,
+    AdmissionCheck,
     Arrival,
-    BodyWhole,
+    BodyComplete,
     Cancel,
-    Changed,
     ClientGone,
     Event,
     Fail,
-    Heard,
     ListKind,
     ListUpdate,
     Log,
     Member,
-    Offer,
     Outcome,
     Probe,
     Probed,
+    ProcessCount,
+    ProcessOverload,
     Refuse,
-    Report,
     Send,
     ServerId,
     SetTimer,
     Settings,
-    Shortage,
-    SiteWord,
+    SettingsChanged,
+    SharedStateUpdate,
+    SiteOverride,
     Status,
     Subscribe,
     TimerFired,
-    Twins,
     View,
+    ViewQuery,
 )
 from .sites.events import SiteView
 from .wheel import TimerWheel
@@ -194,7 +194,7 @@
                 attempt.write_by_us = exchange.deadline_at_us
                 assert self.executor
                 self.executor.extend(attempt)
-        self._dispatch(BodyWhole(exchange.id, max(1, exchange.left_us)), now)
+        self._dispatch(BodyComplete(exchange.id, max(1, exchange.left_us)), now)
         self._arm_deadline_timer(exchange)
 
     def client_gone(self, exchange: Exchange) -> None:
@@ -221,7 +221,7 @@
 
     def view(self) -> View:
         """Return the policy's current view of the servers."""
-        for action in self._policy.handle(self._clock(), Report()):
+        for action in self._policy.handle(self._clock(), ViewQuery()):
             if isinstance(action, View):
                 return action
         return View([])
@@ -239,7 +239,9 @@
         A refused request need not be opened.
         """
         try:
-            actions = self._policy.handle(self._clock(), Offer(class_index, tenant, key, left_us, work_us))
+            actions = self._policy.handle(
+                self._clock(), AdmissionCheck(class_index, tenant, key, left_us, work_us)
+            )
         except Exception:
             self._counters.add("fault.engine")
             logger.exception("offer failed")
@@ -256,7 +258,7 @@
     def set_shed_share(self, share: float) -> None:
         """Set the least share (0..1) of the demand to be refused because this process lacks resources."""
         self._is_process_overloaded = share > 0
-        self._dispatch(Shortage(share))
+        self._dispatch(ProcessOverload(share))
 
     def set_max_open(self, max_open: int) -> None:
         """Limit how many exchanges may be open at once."""
@@ -264,22 +266,22 @@
 
     def set_process_count(self, count: int) -> None:
         """Tell the policy how many processes now run as this one balancer."""
-        self._dispatch(Twins(count))
+        self._dispatch(ProcessCount(count))
 
-    def update_shared_state(self, event: Heard) -> None:
+    def update_shared_state(self, event: SharedStateUpdate) -> None:
         """Pass on the latest state that this balancer has received from the others."""
         self._dispatch(event)
 
     def change_settings(self, settings: Settings) -> None:
         """Apply new settings; to open requests as `policy.interface.SettingsChanged` describes."""
-        self._dispatch(Changed(settings))
+        self._dispatch(SettingsChanged(settings))
 
     def override_site(self, site: int, out: bool) -> SiteView | None:
         """Apply an operator's command to take a site out of service or put it back.
 
         Returns the site's state afterwards; None if no such site exists.
         """
-        self._dispatch(SiteWord(site, out))
+        self._dispatch(SiteOverride(site, out))
         return next((view for view in self.view().sites if view.site == site), None)
 
     def request_counts(self) -> tuple[int, int]:
--- a/roadlb/routing/key_sets.py
+++ b/roadlb/routing/key_sets.py
@@ -29,12 +29,12 @@
 class Member(Protocol):
     """What a key set needs to know of a server: its size, and the load for that size."""
 
-    up: bool
-    inverse: float
+    is_ready: bool
+    unit_load: float
 
     def load(self, now: int, aim_us: int) -> float: ...
 
-    def waiting(self, now: int, aim_us: int) -> float: ...
+    def reported_load(self, now: int, aim_us: int) -> float: ...
 
 
 S = TypeVar("S", bound=Member)
@@ -88,7 +88,7 @@
             key_set = KeySet()
         self._sets[key] = key_set
         if key_set.version != version:
-            key_set.members = [s for s in key_set.members if s.up]
+            key_set.members = [s for s in key_set.members if s.is_ready]
             key_set.candidates = self._find_candidates(
                 key, min(MAX_CANDIDATES, max(INITIAL_CANDIDATES, len(key_set.members)))
             )
@@ -97,7 +97,7 @@
 
     def low(self, server: S, mean: float) -> float:
         """Return T_low of a server, given the fleet's mean load."""
-        return LOW_FACTOR * mean + MARGIN_REQUESTS * server.inverse / 2
+        return LOW_FACTOR * mean + MARGIN_REQUESTS * server.unit_load / 2
 
     def suffices(self, now: int, aim_us: int, best: S, mean: float, key_set: KeySet[S]) -> bool:
         """Return whether the best member takes the request with no look at others.
@@ -105,7 +105,7 @@
         A set that is larger than it has to be loses its last member.
         """
         load = best.load(now, aim_us)
-        if load > HIGH_FACTOR * mean + MARGIN_REQUESTS * best.inverse or self.is_crowded(now, aim_us, best):
+        if load > HIGH_FACTOR * mean + MARGIN_REQUESTS * best.unit_load or self.is_crowded(now, aim_us, best):
             return False
         if len(key_set.members) > 1 and now - key_set.grown_at > SHRINK_US:
             key_set.grown_at = now
@@ -116,7 +116,8 @@
     def is_crowded(self, now: int, aim_us: int, server: S) -> bool:
         """Return whether the server reports clearly more waiting requests than others do."""
         return (
-            server.waiting(now, aim_us) > HIGH_FACTOR * self.mean_waiting + CROWDED_REQUESTS * server.inverse
+            server.reported_load(now, aim_us)
+            > HIGH_FACTOR * self.mean_waiting + CROWDED_REQUESTS * server.unit_load
         )
 
     def joinable(self, key: int, key_set: KeySet[S]) -> Sequence[S]:
@@ -129,10 +130,12 @@
         """Return whether the other server is so much less loaded than the best member that it joins."""
         if other is None:
             return False
-        if self.is_crowded(now, aim_us, best) and 2 * other.waiting(now, aim_us) < best.waiting(now, aim_us):
+        if self.is_crowded(now, aim_us, best) and 2 * other.reported_load(now, aim_us) < best.reported_load(
+            now, aim_us
+        ):
             return True
         load, other_load = best.load(now, aim_us), other.load(now, aim_us)
-        high_mark = HIGH_FACTOR * mean + MARGIN_REQUESTS * best.inverse
+        high_mark = HIGH_FACTOR * mean + MARGIN_REQUESTS * best.unit_load
         return load > high_mark and (
             other_load <= self.low(other, mean) or load >= max(2 * high_mark, other_load)
         )
--- a/tests/engine/test_own_load.py
+++ b/tests/engine/test_own_load.py
@@ -16,7 +16,7 @@
 from roadlb.overload.meter import Limits
 from roadlb.overload.pulse import BEAT_US
 from roadlb.own_load import LATE_ENOUGH_US, OwnLoad
-from roadlb.policy.interface import Action, Event, ListKind, Member, RequestClass, Settings, Shortage
+from roadlb.policy.interface import Action, Event, ListKind, Member, ProcessOverload, RequestClass, Settings
 from roadlb.policy.logic import Balancer
 from roadlb.wheel import TimerWheel
 
@@ -109,7 +109,7 @@
             now += BEAT_US + delay_us
             cpu += 1_000
             own_load._beat()
-        shares = [e.share for e in policy.events if isinstance(e, Shortage)]
+        shares = [e.share for e in policy.events if isinstance(e, ProcessOverload)]
         assert shares[0] == 0.0 and max(shares) > 0.2 and shares[-1] == 0.0
         assert tighten_calls == [True] and own_load.figures()["overload.descriptor_share"] == 0.9
         own_load.stop()
--- a/tests/overload/test_policy_events.py
+++ b/tests/overload/test_policy_events.py
@@ -9,19 +9,19 @@
 from roadlb import Balancer
 from roadlb.policy.interface import (
     Action,
+    AdmissionCheck,
     Arrival,
     Effect,
     ListKind,
     ListUpdate,
     Member,
-    Offer,
     Outcome,
+    ProcessOverload,
     Refuse,
     RequestClass,
     Send,
     SetTimer,
     Settings,
-    Shortage,
     Status,
     Tenant,
     TimerFired,
@@ -68,7 +68,7 @@
         return isinstance(action, Send)
 
     def offer(self, cls: int, key: int = 0, remaining_us: int = 2 * SECOND, tenant: int = 0) -> list[Action]:
-        return self.handle(Offer(cls, tenant, key, remaining_us, 0))
+        return self.handle(AdmissionCheck(cls, tenant, key, remaining_us, 0))
 
     def request_mix(self, count: int, gap_us: int = 1_000) -> dict[int, list[bool]]:
         """Delivers seven reads to three orders, at random; by class, whether each was sent."""
@@ -102,7 +102,7 @@
 ) -> None:
     harness = BalancerUnderTest()
     harness.request_mix(1_000)
-    harness.handle(Shortage(overload_share))
+    harness.handle(ProcessOverload(overload_share))
     sent = harness.request_mix(2_000)
     assert share(sent[READ]) == pytest.approx(reads, abs=0.05)
     assert share(sent[ORDER]) == pytest.approx(orders, abs=0.05)
@@ -114,9 +114,9 @@
 ) -> None:
     harness = BalancerUnderTest()
     harness.request_mix(1_000)
-    harness.handle(Shortage(overload_share))
+    harness.handle(ProcessOverload(overload_share))
     for _ in range(in_flight):
-        harness.balancer.hand.began(harness.now, 100_000)
+        harness.balancer.fleet_load.began(harness.now, 100_000)
     count = 0
     for _ in range(2_000):
         count += not harness.request(
@@ -128,20 +128,20 @@
 
 def test_an_overload_ends_when_an_event_says_so() -> None:
     harness = BalancerUnderTest()
-    harness.handle(Shortage(0.9))
+    harness.handle(ProcessOverload(0.9))
     harness.request_mix(1_000)
-    harness.handle(Shortage(0.0))
+    harness.handle(ProcessOverload(0.0))
     assert all(all(sent) for sent in harness.request_mix(500).values())
 
 
-@pytest.mark.parametrize("attribute", ["pressure", "own"])
+@pytest.mark.parametrize("attribute", ["shortage", "overload"])
 def test_refusals_ask_clients_to_wait_longer_in_a_greater_overload_too(attribute: str) -> None:
     # Clients that retry soon do so while the overload lasts, and refusing them costs the CPU that is lacking.
     retry_after = {}
     for share_of in (0.1, 0.9):
         harness = BalancerUnderTest()
         harness.request_mix(200)
-        harness.balancer.pressure, harness.balancer.own = 0.1, 0.1
+        harness.balancer.shortage, harness.balancer.overload = 0.1, 0.1
         setattr(harness.balancer, attribute, share_of)
         cls = harness.balancer.classes[READ]
         retry_after[share_of] = []
@@ -158,7 +158,7 @@
 def test_an_admission_check_decides_as_the_arrival_would(cls: int, overload_share: float) -> None:
     harness, refused = BalancerUnderTest(), 0
     harness.request_mix(1_000)
-    harness.handle(Shortage(overload_share))
+    harness.handle(ProcessOverload(overload_share))
     for key in range(1, 40):
         offered = harness.offer(cls, key)
         assert [type(a) for a in offered] == ([] if harness.request(cls, key) else [Refuse])
@@ -170,7 +170,7 @@
 def test_an_admission_check_and_its_arrival_count_once() -> None:
     # With orders counted twice, their share of the demand would seem doubled, and too many reads be served.
     harness = BalancerUnderTest(tenants=TENANTS)
-    harness.handle(Shortage(0.7))
+    harness.handle(ProcessOverload(0.7))
     harness.request_mix(300)
     for cls in (READ, ORDER):
         for key in range(1, 100):
@@ -201,7 +201,7 @@
                 assert not harness.offer(cls, key, tenant=tenant)
             harness.request(cls, key, tenant=tenant, latency_us=None if i % 50 == 0 else 20_000)
             harness.advance(500)
-        assert harness.balancer.pressure <= 0
+        assert harness.balancer.shortage <= 0
         traces.append(harness.trace)
     assert traces[0] == traces[1]
 
@@ -211,7 +211,7 @@
     # Sent, it makes a server work in vain and counts as that server's timeout; an order may run with no
     # answer to its client.
     harness = BalancerUnderTest()
-    harness.handle(Shortage(0.0))
+    harness.handle(ProcessOverload(0.0))
     for latency_us in (90_000, 30_000, 120_000, 60_000):
         harness.request(ORDER, latency_us=latency_us)
     for remaining_us, sent in ((1, False), (14_000, False), (16_000, True), (50_000, True)):
@@ -227,7 +227,7 @@
     # A server with the key in its cache answers in 3 ms where the mean is 90 ms; a bound that is a fraction
     # of the mean would refuse such a request.
     harness = BalancerUnderTest()
-    harness.handle(Shortage(0.0))
+    harness.handle(ProcessOverload(0.0))
     harness.request(READ, latency_us=3_000)
     for _ in range(1_000):
         harness.request(READ, latency_us=90_000)
--- a/tests/policy/test_changed.py
+++ b/tests/policy/test_changed.py
@@ -14,17 +14,17 @@
     Action,
     Arrival,
     Cancel,
-    Changed,
     Effect,
     Fail,
     Group,
     ListKind,
     ListUpdate,
     Member,
+    ProcessOverload,
     Refuse,
     RequestClass,
     Send,
-    Shortage,
+    SettingsChanged,
     Status,
     Tenant,
 )
@@ -37,7 +37,7 @@
 
 
 def change_settings(harness: BalancerUnderTest, **settings: object) -> list[Action]:
-    return harness.feed(Changed(replace(harness.balancer.s, **settings)))  # type: ignore[arg-type]
+    return harness.feed(SettingsChanged(replace(harness.balancer.settings, **settings)))  # type: ignore[arg-type]
 
 
 def sends_of(actions: list[Action]) -> list[Action]:
@@ -53,7 +53,7 @@
 
 
 def make_class_unsafe(harness: BalancerUnderTest) -> None:
-    change_settings(harness, classes=[replace(harness.balancer.s.classes[0], effect=Effect.UNSAFE)])
+    change_settings(harness, classes=[replace(harness.balancer.settings.classes[0], effect=Effect.UNSAFE)])
 
 
 def forbid_hedges(harness: BalancerUnderTest) -> None:
@@ -191,7 +191,7 @@
     (copy,) = sends_of(harness.advance(80_000))
     assert isinstance(copy, Send)
     assert change_settings(
-        harness, classes=[replace(harness.balancer.s.classes[0], effect=Effect.UNSAFE)]
+        harness, classes=[replace(harness.balancer.settings.classes[0], effect=Effect.UNSAFE)]
     ) == [Cancel(harness.last_request, 1, unsent=True)]
     assert harness.finish(copy.server, Status.MOOT, attempt=1) == []
     assert change_settings(harness, max_attempts=9) == []
@@ -204,9 +204,9 @@
     for request, server in enumerate(servers, 1):
         harness.finish(server, request=request)
     assert (
-        harness.balancer.hand.out == 0
+        harness.balancer.fleet_load.out == 0
         and not harness.balancer.requests
-        and all(s.out == 0 for s in harness.balancer.list.ready)
+        and all(s.in_flight == 0 for s in harness.balancer.servers.ready)
     )
 
 
@@ -217,7 +217,7 @@
     """Return how many of each class in `CLASSES` are refused while half of the requests must be refused."""
     refused = [0, 0]
     for i in range(count):
-        harness.feed(Shortage(0.5))
+        harness.feed(ProcessOverload(0.5))
         harness.last_request += 1
         for action in harness.feed(Arrival(harness.last_request, i % 2, i % 2, i % 211 + 1, SECOND, 0)):
             if isinstance(action, Send):
@@ -290,13 +290,13 @@
     harness = BalancerUnderTest(servers=2, born=10 * SECOND, cold_us=20 * SECOND, cold_from=0.5)
     while not isinstance(sent := harness.send_request(7)[0], Send):
         harness.now += 1_000
-    before = [s.share for s in harness.balancer.list.ready]
+    before = [s.share for s in harness.balancer.servers.ready]
     change_settings(harness, cold_from=0.1, cold_us=40 * SECOND)
-    assert all(s.share < share for s, share in zip(harness.balancer.list.ready, before, strict=True))
+    assert all(s.share < share for s, share in zip(harness.balancer.servers.ready, before, strict=True))
     harness.finish(sent.server)
     assert harness.balancer.slow_start.pace._capacity_in_use == 0
     change_settings(harness, cold_us=0)
-    assert [s.share for s in harness.balancer.list.ready] == [1.0, 1.0]
+    assert [s.share for s in harness.balancer.servers.ready] == [1.0, 1.0]
 
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.FULL, Status.RESET])
@@ -309,8 +309,11 @@
         if n % 10 == 0:
             assert (
                 changed.feed(
-                    Changed(
-                        replace(changed.balancer.s, classes=[replace(c) for c in changed.balancer.s.classes])
+                    SettingsChanged(
+                        replace(
+                            changed.balancer.settings,
+                            classes=[replace(c) for c in changed.balancer.settings.classes],
+                        )
                     )
                 )
                 == []
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -13,27 +13,27 @@
     Effect,
     Fail,
     Group,
-    Heard,
     ListKind,
     ListUpdate,
     Log,
     Member,
     Outcome,
+    ProcessOverload,
     Refuse,
-    Report,
     RequestClass,
     Send,
     ServerState,
     SetTimer,
     Settings,
-    Shortage,
-    SiteWord,
+    SharedStateUpdate,
+    SiteOverride,
     Status,
     StreamStarted,
     Subscribe,
     Tenant,
     TimerFired,
     View,
+    ViewQuery,
 )
 from roadlb.routing.key_sets import MAX_SETS
 
@@ -223,7 +223,7 @@
             if isinstance(action, Send):
                 harness.finish(action.server, Status.ERROR)
         harness.now += 1_000
-    assert 0 < sum(s.ejected_until > 0 for s in harness.balancer.list.ready) <= 3
+    assert 0 < sum(s.ejected_until > 0 for s in harness.balancer.servers.ready) <= 3
 
 
 def test_spoilt_answers_at_all_servers_make_none_suspect_for_orders() -> None:
@@ -238,7 +238,7 @@
             (answer,) = harness.finish(send.server, AttemptOutcome.GARBLED.status)
             assert isinstance(answer, Fail)  # it may have run
         harness.now += 10_000
-    assert not any(s.ejected_until for s in harness.balancer.list.ready)
+    assert not any(s.ejected_until for s in harness.balancer.servers.ready)
 
 
 def test_a_server_that_spoils_every_answer_is_ejected() -> None:
@@ -288,7 +288,7 @@
     shed = []
     for seed in (1, 2):
         harness = BalancerUnderTest(seed=seed, max_attempts=1)
-        harness.feed(Shortage(0.5))
+        harness.feed(ProcessOverload(0.5))
         shed.append([isinstance(harness.send_request(key)[0], Refuse) for key in range(1, 200)])
     both = [a == b for a, b in zip(*shed, strict=True)]
     assert 0.3 < sum(shed[0]) / len(both) < 0.7 and sum(both) > 0.9 * len(both)
@@ -317,7 +317,7 @@
     # The actions of the sites were appended to the very list that they came from, and so logged twice.
     harness = BalancerUnderTest(servers=0)
     harness.feed(ListUpdate(ListKind.FULL, [Member(bytes([n]), zone=n % 2) for n in range(4)]))
-    logged = [a for a in harness.feed(SiteWord(1, out=True)) if isinstance(a, Log)]
+    logged = [a for a in harness.feed(SiteOverride(1, out=True)) if isinstance(a, Log)]
     assert logged == [Log("site 1: whole to out: an operator's word")]
 
 
@@ -325,7 +325,7 @@
     harness = BalancerUnderTest(tenants=[Tenant("a", 1000.0), Tenant("b", 1.0)])
     refused = [0, 0]
     for i in range(4000):
-        harness.feed(Shortage(0.5))
+        harness.feed(ProcessOverload(0.5))
         for action in harness.send_request(i % 211 + 1, tenant=i % 2):
             if isinstance(action, Send):
                 harness.finish(action.server)
@@ -382,7 +382,7 @@
 
     With `quick`, answers of all other servers are reported to have taken a hundred times as long.
     """
-    harness.feed(Heard(pressure=0.95))
+    harness.feed(SharedStateUpdate(fleet_shortage=0.95))
     servers = []
     for key in range(1, requests + 1):
         for action in harness.send_request(key):
@@ -447,10 +447,10 @@
     for key in range(1, 201):
         harness.finish(harness.request_server(key), latency_us=200_000)
         harness.advance(4_000)
-    usual, new_server = harness.balancer.classes[0].latency, bytes([10, 9, 9, 9, 0, 80])
+    usual, new_server = harness.balancer.classes[0].mean_us, bytes([10, 9, 9, 9, 0, 80])
     harness.feed(ListUpdate(ListKind.DELTA, [Member(new_server, born_us=harness.now)]))
     assert send_under_shortage(harness, 800, quick_server=new_server).count(new_server) > 10
-    assert harness.balancer.classes[0].latency >= usual
+    assert harness.balancer.classes[0].mean_us >= usual
 
 
 def test_discovery_is_requested_at_the_start_and_with_pauses_after_failures() -> None:
@@ -487,11 +487,17 @@
     # Busy servers were overloaded at under twice the mean while the others idled, and the balancer shed load
     # (incident i0633d8).
     harness = BalancerUnderTest(servers=4)
-    first_server = harness.balancer.list.servers[harness.serve(7)]
-    for s in harness.balancer.list.ready:
-        s.out, s.mean, s.at = (20, 20.0, harness.now) if s is first_server else (10, 10.0, harness.now)
+    first_server = harness.balancer.servers.by_id[harness.serve(7)]
+    for s in harness.balancer.servers.ready:
+        s.in_flight, s.mean_in_flight, s.mean_updated_us = (
+            (20, 20.0, harness.now) if s is first_server else (10, 10.0, harness.now)
+        )
         s.oldest_sent_at = harness.now
-    harness.balancer.fleet.out, harness.balancer.fleet.mean, harness.balancer.fleet.at = 50, 50.0, harness.now
+    (
+        harness.balancer.fleet.in_flight,
+        harness.balancer.fleet.mean_in_flight,
+        harness.balancer.fleet.mean_updated_us,
+    ) = 50, 50.0, harness.now
     assert harness.request_server(7) != first_server.id
     assert len(harness.balancer.sets[7].members) == 2
 
@@ -546,11 +552,13 @@
     harness = BalancerUnderTest(servers=2, report_source="inline", report_fields=("queue",))
     server = harness.request_server()
     harness.feed(Outcome(harness.last_request, 0, server, Status.OK, 20_000, True, (30.0,)))
-    loads = [harness.balancer.list.servers[server].load(harness.balancer.now, harness.balancer.aim)]
+    loads = [harness.balancer.servers.by_id[server].load(harness.balancer.now, harness.balancer.aim_us)]
     for _ in range(2):
         harness.advance(300_000)
         harness.balancer.now = harness.now
-        loads.append(harness.balancer.list.servers[server].load(harness.balancer.now, harness.balancer.aim))
+        loads.append(
+            harness.balancer.servers.by_id[server].load(harness.balancer.now, harness.balancer.aim_us)
+        )
     assert loads[0] >= 30 and loads[2] < loads[0] / 10
 
 
@@ -563,7 +571,7 @@
             if isinstance(action, Send):
                 harness.finish(action.server)
         harness.advance(20_000)
-    assert harness.balancer.pressure == 0
+    assert harness.balancer.shortage == 0
 
 
 def test_a_silent_server_is_avoided_until_it_answers() -> None:
@@ -578,7 +586,7 @@
 def test_an_order_goes_to_a_suspect_server_if_there_is_no_other() -> None:
     harness = BalancerUnderTest(servers=1, classes=one_class(Effect.UNSAFE))
     harness.finish(harness.request_server(), Status.ERROR)
-    assert harness.balancer.list.servers[harness.server_ids[0]].suspect_until > harness.now
+    assert harness.balancer.servers.by_id[harness.server_ids[0]].suspect_until > harness.now
     assert harness.request_server() == harness.server_ids[0]
 
 
@@ -588,10 +596,10 @@
     failing_server = harness.request_server()
     harness.finish(failing_server, Status.RESET)
     assert all(harness.serve() != failing_server for _ in range(10))
-    harness.balancer.list.servers[failing_server].failure_rate *= (
+    harness.balancer.servers.by_id[failing_server].failure_rate *= (
         0.8**4
     )  # as four good answers to reads leave it
-    assert harness.balancer.list.servers[failing_server].suspect_until > harness.now
+    assert harness.balancer.servers.by_id[failing_server].suspect_until > harness.now
     assert any(harness.serve() == failing_server for _ in range(10))
 
 
@@ -611,7 +619,7 @@
             latency_us=5_000,
         )
         harness.advance(10_000)
-    assert refusal_count < 30 and harness.balancer.pressure == 0
+    assert refusal_count < 30 and harness.balancer.shortage == 0
 
 
 def test_key_sets_are_bounded_and_the_least_recently_used_is_removed() -> None:
@@ -646,7 +654,7 @@
                 if isinstance(again, Send):
                     harness.finish(again.server, attempt=1)
             harness.advance(30_000)
-        (view,) = queried.feed(Report())
+        (view,) = queried.feed(ViewQuery())
         assert isinstance(view, View)
         if i == 20:
             new_server, draining = view.servers[1:3]
@@ -659,5 +667,7 @@
         ejected = ejected or any(s.ejected and s.suspect and not s.eligible for s in view.servers)
     assert ejected
     assert all(s.load >= 0 for s in view.servers) and len(view.servers) == 6
-    assert queried.balancer.random.getstate() == unqueried.balancer.random.getstate()
-    assert [s.mean for s in queried.balancer.list.ready] == [s.mean for s in unqueried.balancer.list.ready]
+    assert queried.balancer.rng.getstate() == unqueried.balancer.rng.getstate()
+    assert [s.mean_in_flight for s in queried.balancer.servers.ready] == [
+        s.mean_in_flight for s in unqueried.balancer.servers.ready
+    ]
--- a/tests/policy/test_late_events.py
+++ b/tests/policy/test_late_events.py
@@ -8,7 +8,7 @@
 from roadlb.policy.interface import (
     Action,
     Arrival,
-    BodyWhole,
+    BodyComplete,
     Cancel,
     ClientGone,
     Effect,
@@ -73,7 +73,9 @@
     ]
     assert not [a for a in late if isinstance(a, Send)]
     assert (
-        not harness.balancer.requests and harness.balancer.hand.out == 0 and harness.balancer.fleet.out == 0
+        not harness.balancer.requests
+        and harness.balancer.fleet_load.out == 0
+        and harness.balancer.fleet.in_flight == 0
     )
 
 
@@ -82,10 +84,12 @@
     (send,) = harness.feed(Arrival(1, 0, 0, 7, SECOND, 0, coming=True))
     assert isinstance(send, Send)
     harness.feed(ClientGone(1))
-    assert harness.feed(BodyWhole(1, SECOND)) == []
+    assert harness.feed(BodyComplete(1, SECOND)) == []
     harness.feed(Outcome(1, 0, send.server, Status.CANCELLED, 1000, True))
     assert (
-        not harness.balancer.requests and harness.balancer.hand.out == 0 and harness.balancer.fleet.out == 0
+        not harness.balancer.requests
+        and harness.balancer.fleet_load.out == 0
+        and harness.balancer.fleet.in_flight == 0
     )
 
 
--- a/tests/policy/test_many_balancers.py
+++ b/tests/policy/test_many_balancers.py
@@ -13,7 +13,6 @@
 from roadlb.policy.interface import (
     Arrival,
     Effect,
-    Heard,
     ListKind,
     ListUpdate,
     Member,
@@ -23,6 +22,7 @@
     ServerState,
     SetTimer,
     Settings,
+    SharedStateUpdate,
     Status,
     TimerFired,
 )
@@ -207,7 +207,7 @@
                 )
             )
         for i in range(balancer_count):
-            fleet.feed(i, Heard(pressure=0.4))
+            fleet.feed(i, SharedStateUpdate(fleet_shortage=0.4))
         fleet.run(1, rate=16 * SERVER_REQUESTS_PER_S)
     work_done = 0
     for server in zone_servers:
@@ -234,7 +234,7 @@
     fleet.send_list(ListUpdate(ListKind.DELTA, [Member(s, born_us=fleet.started_at) for s in new_servers]))
     for _ in range(8):
         for i in range(balancer_count):
-            fleet.feed(i, Heard(pressure=0.75))
+            fleet.feed(i, SharedStateUpdate(fleet_shortage=0.75))
         fleet.run(1, rate=30 * SERVER_REQUESTS_PER_S)
     work_done = 0
     for server in new_servers:
@@ -299,7 +299,7 @@
             servers_by_balancer[-1].append(send.server)
             b.handle(key * SECOND + 1000, Outcome(key, 0, send.server, Status.OK, 1000, True))
     own_zone_shares = [
-        sum(zone_of[s] == b.s.zone for s in servers) / 600
+        sum(zone_of[s] == b.settings.zone for s in servers) / 600
         for b, servers in zip(balancers, servers_by_balancer, strict=True)
     ]
     assert all(0.6 < part < 0.75 for part in own_zone_shares[:3]) and own_zone_shares[3] < 0.45
--- a/tests/policy/test_shared_state_update.py
+++ b/tests/policy/test_shared_state_update.py
@@ -7,21 +7,21 @@
     Action,
     Arrival,
     Event,
-    Heard,
     ListKind,
     ListUpdate,
     Member,
     Outcome,
     Refuse,
-    Report,
     RequestClass,
     Send,
     SetTimer,
     Settings,
+    SharedStateUpdate,
     Status,
     Tenant,
     TimerFired,
     View,
+    ViewQuery,
 )
 from roadlb.routing.shares import BudgetShares
 from roadlb.routing.health import MAX_EJECTED_SHARE, HealthTracker, ServerHealth
@@ -62,7 +62,7 @@
         return [a.server for _ in range(count) for a in self.send_request() if isinstance(a, Send)]
 
     def view(self) -> View:
-        (view,) = self.balancer.handle(self.now, Report())
+        (view,) = self.balancer.handle(self.now, ViewQuery())
         assert isinstance(view, View)
         return view
 
@@ -71,7 +71,7 @@
     without_event, with_event = SteadyBalancer(), SteadyBalancer()
     for n in range(200):
         if n % 10 == 0:
-            assert with_event.feed(Heard()) == []
+            assert with_event.feed(SharedStateUpdate()) == []
         status = Status.ERROR if n % 7 == 0 else Status.OK
         assert without_event.send_request(status) == with_event.send_request(status)
 
@@ -79,7 +79,7 @@
 def test_a_server_that_peers_report_bad_is_ejected_until_then_within_the_share() -> None:
     harness = SteadyBalancer()
     until = harness.now + 20 * SECOND
-    harness.feed(Heard(avoid={s: until for s in [b"unknown", *SERVERS[:6]]}))
+    harness.feed(SharedStateUpdate(avoid_until={s: until for s in [b"unknown", *SERVERS[:6]]}))
     ejection_limit = int(MAX_EJECTED_SHARE * len(SERVERS))
     assert sum(s.ejected for s in harness.view().servers) == ejection_limit
     assert not set(SERVERS[:ejection_limit]) & set(harness.servers_of_requests(100))
@@ -124,7 +124,7 @@
         harness.servers_of_requests(100)
         harness.feed(ListUpdate(ListKind.DELTA, [Member(b"cold", born_us=harness.now)]))
         if share is not None:
-            harness.feed(Heard(cold={b"cold": share}))
+            harness.feed(SharedStateUpdate(slow_start_shares={b"cold": share}))
         return harness.servers_of_requests(190).count(b"cold")
 
     assert sent(0.0) == 0 < sent(0.25) == sent(None) < sent(1.0)
@@ -135,7 +135,7 @@
 
     def refused(quotas: dict[int, float]) -> list[bool]:
         harness = SteadyBalancer(classes=[RequestClass("read")], tenants=tenants)
-        harness.feed(Heard(quotas=quotas, pressure=0.3))
+        harness.feed(SharedStateUpdate(quota_shares=quotas, fleet_shortage=0.3))
         for n in range(200):
             harness.send_request(tenant=n % 2)
         # Each tenant sends ten a second, which is a quarter of b's quota.
@@ -149,10 +149,10 @@
 def test_the_fleet_shortage_replaces_the_local_one() -> None:
     harness = SteadyBalancer()
     assert harness.view().shortage == 0.0
-    harness.feed(Heard(pressure=0.5))
+    harness.feed(SharedStateUpdate(fleet_shortage=0.5))
     refused = sum(any(isinstance(a, Refuse) for a in harness.send_request()) for _ in range(200))
     assert 70 < refused < 130
-    harness.feed(Heard())
+    harness.feed(SharedStateUpdate())
     assert not any(isinstance(a, Refuse) for _ in range(50) for a in harness.send_request())
 
 
@@ -163,7 +163,11 @@
     assert round(shares.shortage(0, 0.2), 6) == 0.3 and round(shares.shortage(0, 1.0), 6) == 0.9
     assert shares.shortage(SECOND, 0.2) == 0.2
     harness = SteadyBalancer()
-    harness.feed(Heard(pressure=0.8, lean=0.5, stale=harness.now + 1_000 * SECOND))
+    harness.feed(
+        SharedStateUpdate(
+            fleet_shortage=0.8, fleet_shortage_weight=0.5, fleet_shortage_until=harness.now + 1_000 * SECOND
+        )
+    )
     assert 50 < sum(any(isinstance(a, Refuse) for a in harness.send_request()) for _ in range(200)) < 110
 
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -8,7 +8,7 @@
 import pytest
 from slow_start_fleet import SECOND, Fleet
 
-from roadlb.policy.interface import Twins
+from roadlb.policy.interface import ProcessCount
 
 WARM_SERVERS = 6
 REQUESTS_PER_S = 16.0  # requests of mean work that a warm server can do a second
@@ -99,12 +99,12 @@
         pairs.append((number, fleet.start_process(fleet.traffic_shares[number])))
     for old, new in pairs:
         for number in (old, new) if announced_after_s is not None else ():
-            fleet.schedule(fleet.now + int(announced_after_s * SECOND), number, Twins(2))
+            fleet.schedule(fleet.now + int(announced_after_s * SECOND), number, ProcessCount(2))
     fleet.run(3, rate)
     for old, new in pairs:
         fleet.traffic_shares[new] += fleet.traffic_shares[old]
         fleet.end_process(old)
-        fleet.schedule(fleet.now, new, Twins(1))
+        fleet.schedule(fleet.now, new, ProcessCount(1))
     fleet.run(6, rate)
     return fleet
 
--- a/tests/sites/test_lost_site.py
+++ b/tests/sites/test_lost_site.py
@@ -11,7 +11,6 @@
     Arrival,
     Cancel,
     Effect,
-    Heard,
     ListKind,
     ListUpdate,
     Member,
@@ -19,8 +18,9 @@
     Refuse,
     RequestClass,
     Send,
-    Settings,
     SetTimer,
+    Settings,
+    SharedStateUpdate,
     Status,
     TimerFired,
 )
@@ -158,7 +158,7 @@
     simulation.run(6)
     assert 2 * LOSS <= len(simulation.sent_since(since)) <= 2 * (LOSS + allowed_more)
     assert simulation.refused - refused_before <= 3
-    assert simulation.balancer.pressure < 0.3
+    assert simulation.balancer.shortage < 0.3
 
 
 def test_a_lost_site_gets_one_repeatable_request_a_second_and_is_taken_back_when_it_answers() -> None:
@@ -196,7 +196,7 @@
     simulation.run(5)
     simulation.unreachable_zones = {1, 2}
     simulation.run(5)
-    simulation.handle(Heard(pressure=0.95))
+    simulation.handle(SharedStateUpdate(fleet_shortage=0.95))
     since = simulation.now
     simulation.run(10)
     trials = simulation.sent_since(since)
