--- a/benchmarks/overload_sim.py
+++ b/benchmarks/overload_sim.py
@@ -80,7 +80,7 @@
         self.rate, self.share = 0.0, 0.0
 
     def handle(self, now: int, r: Reading) -> list[Action]:
-        x = (float(r.asked - r.refused), float(r.refused))
+        x = (float(r.arrived_count - r.refused_count), float(r.refused_count))
         y = r.cpu_share * r.interval_us / 100_000
         px = [self.p[i][0] * x[0] + self.p[i][1] * x[1] for i in (0, 1)]
         scale = 0.98 + x[0] * px[0] + x[1] * px[1]
@@ -88,7 +88,7 @@
         self.served = max(1e-6, self.served + px[0] / scale * error)
         self.refused = min(self.served, max(0.0, self.refused + px[1] / scale * error))
         self.p = [[min(1e-2, (self.p[i][j] - px[i] * px[j] / scale) / 0.98) for j in (0, 1)] for i in (0, 1)]
-        self.rate += (r.asked * 100_000 / r.interval_us - self.rate) * 0.3
+        self.rate += (r.arrived_count * 100_000 / r.interval_us - self.rate) * 0.3
         over, gain = self.served * self.rate - self.target, (self.served - self.refused) * self.rate
         self.share = min(0.95, max(0.0, over / gain)) if over > 0 and gain > 0 else 0.0
         return [Shed(self.share)]
@@ -227,12 +227,12 @@
 
 
 def compare_targets(site: Site, loads: Sequence[float], targets: Sequence[float]) -> None:
-    usual = chosen.TARGET
+    usual = chosen.TARGET_CPU_SHARE
     for target in targets:
-        chosen.TARGET = target
+        chosen.TARGET_CPU_SHARE = target
         WAYS[f"target {target:g}"] = WAYS["chosen"]
         compare(site, loads, [f"target {target:g}"])
-    chosen.TARGET = usual
+    chosen.TARGET_CPU_SHARE = usual
 
 
 if __name__ == "__main__":
--- a/benchmarks/sites_account.py
+++ b/benchmarks/sites_account.py
@@ -132,9 +132,9 @@
                     self.now,
                     number,
                     round(share, 2),
-                    round(hand.wait(self.now), 2),
-                    round(hand._usual, 2),
-                    hand.out,
+                    round(hand.expected_wait(self.now), 2),
+                    round(hand._baseline, 2),
+                    hand.in_flight_count,
                 )
             )
         return share
--- a/benchmarks/sites_beside.py
+++ b/benchmarks/sites_beside.py
@@ -16,7 +16,7 @@
 
 from roadlb.cli.site.plan import described as described_in
 from roadlb.lab.incident import load
-from roadlb.sites.forecast import loss as foretold
+from roadlb.sites.forecast import forecast_loss as foretold
 
 LOST_S, END_S = 4, 18  # of END_S, the last PLAYED_OUT_S are left out
 # Fixed figures, as operators know those of their own machines; only single nodes and wishes are drawn.
--- a/benchmarks/sites_runs.py
+++ b/benchmarks/sites_runs.py
@@ -31,7 +31,7 @@
 from roadlb.lab.run.sim_world import generators  # noqa: E402
 from roadlb.lab.wire import ClientGot, ClientSent, ClientWished, WireLog  # noqa: E402
 from roadlb.sites.events import State  # noqa: E402
-from roadlb.sites.life import Sites  # noqa: E402
+from roadlb.sites.state_machine import Sites  # noqa: E402
 
 SECOND = 1_000_000
 PREFIX_S = 5  # the strict bound is looked at every so many seconds
@@ -149,7 +149,7 @@
     seen: list[tuple[int, int, int, str, str]] = []
     numbers: dict[int, int] = {}
     kept: list[Sites] = []  # so that no number is given twice
-    become, listed = Sites._become, Sites._listed
+    become, listed = Sites._set_state, Sites._update_list
 
     def number_of(one: Sites) -> int:
         if id(one) not in numbers:
@@ -170,11 +170,11 @@
             if number not in self.sites
         )
 
-    Sites._become, Sites._listed = heard, list_heard  # type: ignore[method-assign]
+    Sites._set_state, Sites._update_list = heard, list_heard  # type: ignore[method-assign]
     try:
         yield seen
     finally:
-        Sites._become, Sites._listed = become, listed  # type: ignore[method-assign]
+        Sites._set_state, Sites._update_list = become, listed  # type: ignore[method-assign]
 
 
 def tree_of(path: str | Path) -> Path:
--- a/roadlb/cli/site/plan.py
+++ b/roadlb/cli/site/plan.py
@@ -13,11 +13,11 @@
 
 if TYPE_CHECKING:
     from ...lab.incident import Incident
-    from ...sites.forecast import Demand, Loss, SiteSize
+    from ...sites.forecast import Demand, LossForecast, SiteCapacity
 
 WORDS: dict[str, Callable[[Demand], str]] = {  # by which refusals are summed up
     "class": lambda demand: demand.name,
-    "customer": lambda demand: demand.customer,
+    "customer": lambda demand: demand.tenant,
 }
 TIMES = [0.25 + 0.125 * i for i in range(31)]  # of the demand, in the picture
 
@@ -43,8 +43,8 @@
     return takes.  Ranges count with their middle; incidents in the file are left out.
     """
     forecast = need("roadlb.sites.forecast")
-    sites, demands, told_s = described(incident_at(file), saved)
-    found = forecast.losses(sites, demands, told_s)
+    sites, demands, discovery_delay_s = described(incident_at(file), saved)
+    found = forecast.forecast_losses(sites, demands, discovery_delay_s)
     if as_json:
         click.echo(json.dumps({"losses": [as_data(one) for one in found]}, indent=1))
     else:
@@ -71,7 +71,7 @@
     return middle(cache.gain) * hits
 
 
-def described(incident: Incident, saved: float | None) -> tuple[list[SiteSize], list[Demand], float]:
+def described(incident: Incident, saved: float | None) -> tuple[list[SiteCapacity], list[Demand], float]:
     """Sites, demand, and seconds from a node's start until it is known, of an incident's world."""
     forecast, targets = need("roadlb.sites.forecast"), need("roadlb.lab.incident.targets")
     plan_of = need("roadlb.lab.run.settings").plan_of
@@ -84,7 +84,7 @@
         capacity = sum(kind.cores * middle(kind.speed) for kind in here)
         cold = sum(kind.cores * middle(kind.speed) * middle(kind.cold_share) for kind in here)
         sites.append(
-            forecast.SiteSize(
+            forecast.SiteCapacity(
                 hall,
                 len(here),
                 capacity,
@@ -96,7 +96,7 @@
         saved = saved_by_caches(
             incident, sum(kinds[node.machine].cores for node in targets.nodes_at_start(incident))
         )
-    refusals = need("roadlb.sites.refusal").Refusals(plan_of(incident))
+    refusals = need("roadlb.sites.refusal").RefusalOrder(plan_of(incident))
     demands = []
     for tenant, customer in enumerate(traffic.tenants):
         asks = traffic.rate * customer.share * middle(customer.sends)
@@ -113,13 +113,13 @@
                             asks * row.share * part,
                             middle(row.work_ms) / 1_000 * (1 - saved),
                             worth,
-                            forecast.ranked(refusals, index, tenant, over, worth),
+                            forecast.first_try_rank(refusals, index, tenant, over, worth),
                         )
                     )
     return sites, demands, middle(found.add_s) + (middle(found.period_ms) + middle(found.spread_ms)) / 1_000
 
 
-def as_data(one: Loss) -> dict[str, Any]:
+def as_data(one: LossForecast) -> dict[str, Any]:
     return {
         "lost": list(one.lost),
         "borne": one.borne,
@@ -128,7 +128,7 @@
         "refused": [
             {
                 "class": d.name,
-                "customer": d.customer,
+                "customer": d.tenant,
                 "share": "over" if d.over_share else "within",
                 "asked_per_s": round(d.per_s, 2),
                 "refused": round(1 - kept, 4),
@@ -145,10 +145,10 @@
     }
 
 
-def lines(sites: Sequence[SiteSize], found: Sequence[Loss]) -> list[str]:
+def lines(sites: Sequence[SiteCapacity], found: Sequence[LossForecast]) -> list[str]:
     """A table for a person."""
     said = [
-        f"{site.name}: {site.nodes} nodes, {site.capacity:.1f} standard cores, "
+        f"{site.name}: {site.server_count} nodes, {site.capacity:.1f} standard cores, "
         f"{site.cold_share:.0%} of it when cold, warm after {site.cold_s:.0f} s"
         for site in sites
     ]
@@ -163,10 +163,10 @@
     return said
 
 
-def refused_of(one: Loss) -> str:
+def refused_of(one: LossForecast) -> str:
     """What is refused, and what that is in worth a second, by class and by customer."""
     parts = [
-        f"{1 - kept:.0%} of {d.name} ({d.customer}{', over its share' if d.over_share else ''})"
+        f"{1 - kept:.0%} of {d.name} ({d.tenant}{', over its share' if d.over_share else ''})"
         for d, kept in one.kept.items()
         if kept < 1 - 1e-9
     ]
@@ -179,7 +179,9 @@
     return f"{', '.join(parts)}; worth a second: {', '.join(worth)}" if parts else "nothing"
 
 
-def draw(sites: Sequence[SiteSize], demands: Sequence[Demand], found: Sequence[Loss], to: Path) -> None:
+def draw(
+    sites: Sequence[SiteCapacity], demands: Sequence[Demand], found: Sequence[LossForecast], to: Path
+) -> None:
     """Worth served a second against demand, a line for each loss."""
     forecast, figures = need("roadlb.sites.forecast"), need("matplotlib.figure")
     figure = figures.Figure(figsize=(7, 4.2), layout="constrained")
@@ -187,7 +189,7 @@
     for one in found:
         axes.plot(
             TIMES,
-            forecast.curve(sites, demands, one.lost, TIMES),
+            forecast.worth_curve(sites, demands, one.lost, TIMES),
             label=" and ".join(one.lost) + " lost" if one.lost else "nothing lost",
         )
     axes.set_xlabel("demand, in multiples of the usual")
--- a/roadlb/lab/judge/order.py
+++ b/roadlb/lab/judge/order.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from ...sites.refusal import PlanLine, Refusals
+from ...sites.refusal import PlanLine, RefusalOrder
 from ..wire import ClientGot, ClientSent, NodeGot, WireEvent
 from .book import NEVER, REFUSALS
 
@@ -59,7 +59,7 @@
     `worths`: of each class, in the order of the plan's numbers, as are `tenants`.  `over` and `warm` say
     what holds of every request; None: the wire does not tell, and either may.
     """
-    refusals, classes = Refusals(plan), {name: index for index, name in enumerate(worths)}
+    refusals, classes = RefusalOrder(plan), {name: index for index, name in enumerate(worths)}
     numbers = {name: index for index, name in enumerate(tenants)}
     overs = (False, True) if over is None else (over,)
     warms = (False, True) if warm is None else (warm,)
--- a/roadlb/lab/model/shedding.py
+++ b/roadlb/lab/model/shedding.py
@@ -20,8 +20,8 @@
 
 from roadlb import Balancer
 from roadlb.overload.controller import Action, Shed
-from roadlb.overload.meter import READ_US, Limits, Meter, Reading
-from roadlb.overload.pulse import Pulse
+from roadlb.overload.meter import READING_INTERVAL_US, Limits, Meter, Reading
+from roadlb.overload.loop_monitor import LoopMonitor
 from roadlb.policy.interface import (
     Arrival,
     Cancel,
@@ -185,7 +185,7 @@
         self.share = 0.0
         self.tries = self.read_tries = self.refused = self.unreachable = 0
         self.balancer = Balancer(Settings(classes=list(site.classes), max_retry_after_us=1_200_000), seed)
-        self.pulse = Pulse(0)
+        self.pulse = LoopMonitor(0)
         limits = Limits(site.told_cores or site.cores, 64.0, 1_024)
         self.meter = Meter(
             0,
@@ -198,7 +198,7 @@
         )
         self.new_list(None)
         self.at(10_000, self.beat, None)
-        self.at(READ_US, self.measure, None)
+        self.at(READING_INTERVAL_US, self.measure, None)
         for when, takes, fresh in own_work:
             self.at(when, self.busy, (takes, fresh))
         self.happen(0, self.arrive, None)
@@ -355,7 +355,7 @@
         self.read_tries += 1
         self.waits.append(self.now - t.sent)
         # What the client says is counted from when it sent it; the balancer knows only when it may have come.
-        came = self.now if self.ages == "none" else self.pulse.came_us(self.now)
+        came = self.now if self.ages == "none" else self.pulse.earliest_arrival_us(self.now)
         if self.ages == "told" and came < self.now:
             came = max(came, self.now - ((self.now - t.sent) // 1_000 + 1) * 1_000)
         t.until = came + t.given_up - t.sent - MARGIN_US
@@ -435,7 +435,7 @@
                     self.share = action.share
                     self.feed(Shortage(action.share))
         self.samples.append(Sample(self.now, reading, self.share, self.balancer.pressure))
-        self.at(self.now + READ_US, self.measure, None)
+        self.at(self.now + READING_INTERVAL_US, self.measure, None)
 
     # What came of it
 
--- a/roadlb/lab/mutants/__init__.py
+++ b/roadlb/lab/mutants/__init__.py
@@ -16,8 +16,8 @@
 from ...routing.shares import Shares
 from ...shared_state import told
 from ...shared_state.budgets import Budgets
-from ...sites import life
-from ...sites.refusal import RANKS, Refusals
+from ...sites import state_machine
+from ...sites.refusal import RANKS, RefusalOrder
 from . import budgets, rates
 
 VARIABLE = "ROADLB_PLANTED"
@@ -33,8 +33,8 @@
 
 def no_hysteresis() -> None:
     """A single failure is the loss of a site."""
-    put(life, "DOUBT", 1)
-    put(life, "LOSS", 1)
+    put(state_machine, "DOUBT_FAILURES", 1)
+    put(state_machine, "LOSS_FAILURES", 1)
 
 
 def blind_spill() -> None:
@@ -44,14 +44,14 @@
 
 def return_at_once() -> None:
     """The first answer of a lost site brings its whole load back."""
-    put(life, "SHORT_US", 1 << 62)
+    put(state_machine, "SHORT_OUTAGE_US", 1 << 62)
 
 
 def reversed_plan() -> None:
     """What is to be refused first goes last.  Ranks stay as they are, so that no judge is misled."""
-    for name in ("ask", "refused"):
-        was = getattr(Refusals, name)
-        put(Refusals, name, lambda self, rank, *rest, was=was: was(self, RANKS - 1 - rank, *rest))
+    for name in ("count_request", "is_refused"):
+        was = getattr(RefusalOrder, name)
+        put(RefusalOrder, name, lambda self, rank, *rest, was=was: was(self, RANKS - 1 - rank, *rest))
 
 
 def _budgets(defect: type[Budgets]) -> Callable[[], None]:
--- a/roadlb/overload/controller.py
+++ b/roadlb/overload/controller.py
@@ -25,15 +25,15 @@
 from typing import TypeAlias
 
 from .cost import RequestCost
-from .meter import READ_US, Reading
+from .meter import READING_INTERVAL_US, Reading
 
-TARGET = 0.92  # of the CPU limit; at 0.85 full load loses a tenth more worth, at 0.98 bursts do
+TARGET_CPU_SHARE = 0.92  # of the CPU limit; at 0.85 full load loses a tenth more worth, at 0.98 bursts do
 MEMORY_US = 200_000  # of the mean CPU share: two periods of a quota
 GAIN = 0.8  # a reading's CPU share over TARGET lowers `kept` by this power of their ratio
 SATURATED, IN_A_ROW = 0.97, 3  # so much in so many readings: by chance that is rare even at a load of 0.9
 FALL, RISE = 0.85, 1.2  # factors a reading: when saturated, and at the most when there is room again
-KEPT_BUSY = 0.25  # refusing costs a sixth to a fifth of serving: 60% of the CPU serves at this part
-KEPT_LEAST = 0.05
+MIN_KEPT_BY_CPU = 0.25  # refusing costs a sixth to a fifth of serving: 60% of the CPU serves at this part
+MIN_KEPT = 0.05
 ASKED_AGAIN = 3  # times that a client tries again, at once or soon
 LATE_PART = 1 / 8  # of the shortest aim, on the mean: a request passes the loop twice
 LATE_LEAST_US = 10_000  # a quota of half a core stops it for 50 ms in 100: late by 8 ms on the mean
@@ -68,9 +68,9 @@
             raise ValueError(f"aim_us: {aim_us!r} must be positive")
         if not 0 < refusal <= 1:
             raise ValueError(f"refusal: {refusal!r} must lie in 0..1")
-        self._kept_busy = KEPT_BUSY if refusal * (1 + ASKED_AGAIN) < 1 else 1.0
+        self._kept_busy = MIN_KEPT_BY_CPU if refusal * (1 + ASKED_AGAIN) < 1 else 1.0
         self._late_most = max(LATE_LEAST_US, aim_us * LATE_PART)
-        self._cost, self._saturated = RequestCost(MEMORY_US, TARGET, refusal), 0
+        self._cost, self._saturated = RequestCost(MEMORY_US, TARGET_CPU_SHARE, refusal), 0
         self._late_before = 0.0
         self._kept, self._share, self._tight = 1.0, -1.0, False  # the first share is always told
 
@@ -95,17 +95,18 @@
 
     def _next(self, r: Reading) -> float:
         """The part of the demand to keep from here on."""
-        cpu = self._cost.share(r)
+        cpu = self._cost.requests_cpu_share(r)
         self._saturated = self._saturated + 1 if r.cpu_share >= SATURATED else 0
         late, self._late_before = min(r.late_mean_us, self._late_before), r.late_mean_us
-        readings = min(2.0, r.interval_us / READ_US)  # a late loop reads late; a stop is no experience
-        factor = float((TARGET / max(cpu, 0.05)) ** (GAIN * readings))
+        # a late loop reads late; a stop is no experience
+        readings = min(2.0, r.interval_us / READING_INTERVAL_US)
+        factor = float((TARGET_CPU_SHARE / max(cpu, 0.05)) ** (GAIN * readings))
         if self._saturated >= IN_A_ROW and factor < 1:
             factor = min(factor, float(FALL**readings))
         kept, rise = self._kept, float(RISE**readings)
         if late > self._late_most:
             by_cpu = max(min(kept, self._kept_busy), kept * min(factor, 1.0))
-            return min(by_cpu, max(KEPT_LEAST, kept * max(0.5, sqrt(self._late_most / late))))
+            return min(by_cpu, max(MIN_KEPT, kept * max(0.5, sqrt(self._late_most / late))))
         if late > self._late_most / 2 and kept < 1:
             rise = 1.0
         if factor >= 1:
--- a/roadlb/overload/cost.py
+++ b/roadlb/overload/cost.py
@@ -28,13 +28,13 @@
         self._cpu, self._rate = 0.0, 0.0
         self._window, self._used, self._units = 0, 0.0, 0.0
 
-    def share(self, r: Reading) -> float:
+    def requests_cpu_share(self, r: Reading) -> float:
         """The share of the CPU limit that went into requests lately; all that was used if nobody counts."""
         part = 1 - exp(-r.interval_us / self._memory_us)
         self._cpu += (r.cpu_share - self._cpu) * part
-        if r.asked < 0:
+        if r.arrived_count < 0:
             return self._cpu
-        units = r.asked - r.refused + self._refusal * r.refused
+        units = r.arrived_count - r.refused_count + self._refusal * r.refused_count
         self._rate += (units / r.interval_us - self._rate) * part
         self._learn(r, units)
         return min(self._cpu, UNSURE * self._cost * self._rate) if self._cost else self._cpu
--- a/roadlb/overload/meter.py
+++ b/roadlb/overload/meter.py
@@ -5,9 +5,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from .pulse import Pulse
+from .loop_monitor import LoopMonitor
 
-READ_US = 100_000  # between readings: the period of a CPU quota, so that each holds one of its stops
+# between readings: the period of a CPU quota, so that each holds one of its stops
+READING_INTERVAL_US = 100_000
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,8 +38,8 @@
     late_mean_us: float = 0.0
     memory_share: float = 0.0
     descriptor_share: float = 0.0
-    asked: int = -1
-    refused: int = 0
+    arrived_count: int = -1
+    refused_count: int = 0
 
 
 class Meter:
@@ -50,7 +51,7 @@
     def __init__(
         self,
         now: int,
-        pulse: Pulse,
+        pulse: LoopMonitor,
         limits: Limits,
         cpu_used_us: Callable[[], int],
         memory_bytes: Callable[[], int],
@@ -68,19 +69,19 @@
 
     def read(self, now: int) -> Reading:
         """The reading since the last one.  Two in one microsecond make an interval of 1 us."""
-        cpu, (asked, refused), limits = self._cpu_used_us(), self._counts(), self._limits
-        interval, delay = max(1, now - self._at), self._pulse.take(now)
+        cpu, (arrived_count, refused_count), limits = self._cpu_used_us(), self._counts(), self._limits
+        interval, delay = max(1, now - self._at), self._pulse.take_delay(now)
         reading = Reading(
             interval,
             _share(cpu - self._cpu, limits.cores * interval),
-            delay.largest_us,
+            delay.max_us,
             delay.mean_us,
             _share(self._memory_bytes(), limits.memory_mb * 2**20),
             _share(self._descriptors(), limits.sockets),
-            asked - self._asked,
-            refused - self._refused,
+            arrived_count - self._asked,
+            refused_count - self._refused,
         )
-        self._at, self._cpu, self._asked, self._refused = now, cpu, asked, refused
+        self._at, self._cpu, self._asked, self._refused = now, cpu, arrived_count, refused_count
         return reading
 
 
--- a/roadlb/overload/readings.py
+++ b/roadlb/overload/readings.py
@@ -36,7 +36,7 @@
         return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * _MAXRSS_UNIT
 
 
-def waited_us(connection: Socket) -> int:
+def since_last_receive_us(connection: Socket) -> int:
     """How long ago, at most, the last bytes came in on a TCP connection; 0 if that is not told.
 
     Linux only, in whole milliseconds.  It costs 1.4 us on asyncio and 3.4 us on uvloop: ask where the pulse
--- a/roadlb/own_load.py
+++ b/roadlb/own_load.py
@@ -10,17 +10,17 @@
 from .engine import Engine
 from .log import fields
 from .overload.controller import Controller, Shed, Tighten
-from .overload.meter import READ_US, Limits, Meter, Reading
-from .overload.pulse import Pulse
-from .overload.readings import cpu_used_us, memory_bytes, waited_us
+from .overload.meter import READING_INTERVAL_US, Limits, Meter, Reading
+from .overload.loop_monitor import LoopMonitor
+from .overload.readings import cpu_used_us, memory_bytes, since_last_receive_us
 
 logger = logging.getLogger(__name__)
 
 # What a refusal costs of a served request, by benchmarks/data_path.py: 0.49 to 0.67 at 400 to 4,000 a second,
 # of which the kernel's part alone is a fifth.
-REFUSAL = 0.5
+REFUSAL_COST = 0.5
 # Of less it is not worth asking the kernel, which costs 3 us a read where the loop is always a little late.
-LATE_ENOUGH_US = 20_000
+MIN_KERNEL_QUERY_DELAY_US = 20_000
 
 
 class OwnLoad:
@@ -40,35 +40,35 @@
     ) -> None:
         self._clock, self._engine, self._tighten = clock, engine, tighten
         self._loop, now = asyncio.get_running_loop(), clock()
-        self._pulse = Pulse(now)
+        self._pulse = LoopMonitor(now)
         self._meter = Meter(now, self._pulse, limits, cpu_us, memory, descriptors, engine.asked_and_refused)
-        self._controller = Controller(aim_us, REFUSAL)
+        self._controller = Controller(aim_us, REFUSAL_COST)
         self._reading = Reading(0, 0.0)
-        self._read_at, self._next = now + READ_US, self._loop.call_soon(self._beat)
+        self._read_at, self._next = now + READING_INTERVAL_US, self._loop.call_soon(self._beat)
 
-    def came_us(self, transport: asyncio.Transport) -> int:
+    def earliest_arrival_us(self, transport: asyncio.Transport) -> int:
         """The earliest moment at which bytes read now from this transport may have come, on the clock."""
         now = self._clock()
-        came = self._pulse.came_us(now)
-        if now - came < LATE_ENOUGH_US:
+        came = self._pulse.earliest_arrival_us(now)
+        if now - came < MIN_KERNEL_QUERY_DELAY_US:
             return now
         # The loop was late: ask the kernel, as most bytes came a moment ago.
         connection = transport.get_extra_info("socket")
-        if connection is not None and (waited := waited_us(connection)):
+        if connection is not None and (waited := since_last_receive_us(connection)):
             return max(came, now - waited)
         return came
 
     def late_us(self) -> int:
         """How long ago what is handled now may have come: 0 on a sound loop."""
         now = self._clock()
-        return now - self._pulse.came_us(now)
+        return now - self._pulse.earliest_arrival_us(now)
 
     def _beat(self) -> None:
         now = self._clock()
         due = self._pulse.beat(now)
         self._next = self._loop.call_later((due - now) / 1e6, self._beat)
         if now >= self._read_at:
-            self._read_at = now + READ_US
+            self._read_at = now + READING_INTERVAL_US
             self._read(now)
 
     def _read(self, now: int) -> None:
--- a/roadlb/policy/change.py
+++ b/roadlb/policy/change.py
@@ -16,8 +16,8 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import replace
 
-from ..sites.refusal import Refusals
-from ..sites.warmth import Warmth
+from ..sites.refusal import RefusalOrder
+from ..sites.warm_up import WarmUp
 from .interface import Action, Cancel, Effect, RequestClass, Settings
 from .state import ClassState, Request
 
@@ -27,8 +27,8 @@
     new: Settings,
     classes: Sequence[ClassState],
     requests: Mapping[int, Request],
-    refusals: Refusals,
-    warmth: Warmth,
+    refusals: RefusalOrder,
+    warmth: WarmUp,
     rebuild: Callable[[], None],
 ) -> list[Action]:
     """Make all that is kept under the settings `old` what it is under `new`.
@@ -51,8 +51,8 @@
     for place, cls in enumerate(classes):
         cls.spec = new.classes[place]
     if _ranks(old) != _ranks(new):
-        refusals.begin(new.refusals)
-    warmth.grow(new.cold_from, new.cold_us)
+        refusals.set_plan(new.refusals)
+    warmth.configure(new.cold_from, new.cold_us)
     if _orders(old) != _orders(new):
         rebuild()
     return actions
--- a/roadlb/policy/logic.py
+++ b/roadlb/policy/logic.py
@@ -17,11 +17,11 @@
 from ..routing.key_sets import RECENT_US, KeySet, KeySets
 from ..routing.shares import Shares
 from ..routing.standing import Standings
-from ..sites.events import Doubted, Listed, Pulse, PutIn, TakeOut
-from ..sites.life import Sites
-from ..sites.refusal import Quotas, Refusals
-from ..sites.warmth import Warmth
-from ..sites.work_in_hand import WorkInHand
+from ..sites.events import ReportedSilent, ServersListed, Tick, PutIn, TakeOut
+from ..sites.state_machine import Sites
+from ..sites.refusal import QuotaUsage, RefusalOrder
+from ..sites.warm_up import WarmUp
+from ..sites.in_flight_load import InFlightLoad
 from .change import apply, withdraw
 from .interface import (
     NEVER_RAN,
@@ -77,7 +77,7 @@
         self.classes = [ClassState(c, c.aim_us / 4, c.aim_us / 2) for c in settings.classes]
         self.dialling = settings.dialling
         self.standings = Standings(self.random.random)
-        self.warmth = Warmth(settings.cold_from, settings.cold_us)
+        self.warmth = WarmUp(settings.cold_from, settings.cold_us)
         self.list = ServerList(self.standings, self.warmth)
         self.sets: KeySets[Server] = KeySets(self.list.order)
         self.requests: dict[int, Request] = {}
@@ -86,8 +86,8 @@
         self.fleet, self.sites = self.list.fleet, Sites()
         self.slow_start = SlowStart()
         self.shares = Shares(settings.instances)  # of what all together may do
-        self.pressure, self.alone, self.refusals = 0.0, 0.0, Refusals(settings.refusals)
-        self.hand, self.quotas = WorkInHand(), Quotas([t.quota_per_s for t in settings.tenants])
+        self.pressure, self.alone, self.refusals = 0.0, 0.0, RefusalOrder(settings.refusals)
+        self.hand, self.quotas = InFlightLoad(), QuotaUsage([t.quota_per_s for t in settings.tenants])
         self.own, self.watched = 0.0, False  # this process's own shortage; has one been told at all?
         self.aim, self.queue_field = min(c.aim_us for c in settings.classes), settings.queue_field
         self.notes = Notes()
@@ -106,7 +106,7 @@
             BodyWhole: self.body_whole,
             Changed: self.changed,
             Twins: lambda e: self.shares.twins(self.now, e.count),
-            SiteWord: lambda e: self.sites.tell(self.now, (TakeOut if e.out else PutIn)(e.site)),
+            SiteWord: lambda e: self.sites.process(self.now, (TakeOut if e.out else PutIn)(e.site)),
         }
 
     def handle(self, now: int, event: Event) -> list[Action]:
@@ -121,10 +121,10 @@
                 self.alarm(now + int(self.random.random() * min(2_000_000, self.s.ask_within_us // 4)), ASK)
         if handler := self.handlers.get(type(event)):
             handler(event)
-        if self.sites.decided:
+        if self.sites.pending_actions:
             self.slow_start.has(now, self.list.warm(self.sites))
-            self.actions += map(Log, map(str, decided := self.sites.take()))
-            if self.warmth.hear(now, decided):
+            self.actions += map(Log, map(str, decided := self.sites.take_actions()))
+            if self.warmth.observe(now, decided):
                 self.rebuild()
         return self.actions
 
@@ -148,13 +148,13 @@
         self.alarm(self.now + TICK_US, TICK)
         if any(s.share < 1 for s in self.list.ready):
             self.rebuild()
-        self.refusals.fade()
-        self.quotas.fade()
+        self.refusals.decay()
+        self.quotas.decay()
         self.slow_start.tick(self.now, self.list.warm(self.sites), self.list.weight)
         self.sets.told([s.told * s.inverse for s in self.list.ready if self.now - s.queue_at < RECENT_US])
         each = self.slow_start.carried / (self.slow_start.mean or 1.0) / self.list.weight
-        self.sites.usual([(s.zone, each * s.weight * s.share) for s in self.list.ready])
-        self.sites.tell(self.now, Pulse())
+        self.sites.set_usual_rates([(s.zone, each * s.weight * s.share) for s in self.list.ready])
+        self.sites.process(self.now, Tick())
 
     # The server list
 
@@ -168,7 +168,7 @@
         if self.list.apply(self.now, e, self.s, self.aim):
             self.alarm(self.now + LEAVE_US, LEAVE)
         self.rebuild()
-        self.sites.tell(self.now, Listed(self.list.starts()))
+        self.sites.process(self.now, ServersListed(self.list.starts()))
 
     def changed(self, e: Changed) -> None:
         old, self.s, self.dialling = self.s, (new := e.settings), e.settings.dialling
@@ -186,12 +186,12 @@
         safe = r.cls.spec.effect is Effect.SAFE
         if (
             not s.up
-            or self.sites.shut(self.now, s.zone, safe, r.bold, r.spare)
+            or self.sites.is_closed(self.now, s.zone, safe, r.bold, r.spare)
             or s.barred(self.now, s.out, self.aim, safe, r.cls.spec.effect is Effect.UNSAFE, r.bold)
         ):
             return False
         return (s.share >= 1 or self.cold_room(s, r) > 0) and not (
-            self.shares.bounded and self.sites.away(s.zone) and not self.shares.may_dial(self.now, s.zone)
+            self.shares.bounded and self.sites.limited(s.zone) and not self.shares.may_dial(self.now, s.zone)
         )
 
     def cold_room(self, s: Server, r: Request) -> float:
@@ -224,14 +224,14 @@
         if status is Status.CANCELLED and unheard:
             if latency > r.cls.spec.aim_us:
                 status = Status.TIMEOUT  # called off, but it never came
-            self.sites.overtaken(now, s.zone, s.id)
+            self.sites.on_hedge_won(now, s.zone, s.id)
         if status in (Status.FULL, Status.CONNECT_FAILED):
             self.standings.turned(now, s, cls.latency)
         if status in FAILED:
             self.standings.failed(now, s, status is Status.SPOILT, len(self.list.ready))
             # One that had less than the usual time left says nothing of the site: it may have been under way.
             short = status is Status.TIMEOUT and latency < cls.tail
-            if status is not Status.SPOILT and not short and self.sites.missed(now, s.zone, s.id, r.order):
+            if status is not Status.SPOILT and not short and self.sites.on_failed(now, s.zone, s.id, r.order):
                 for other in self.requests.values():  # what is held up there is no sign of work
                     if other.attempts and other.attempts[-1].server.zone == s.zone:
                         other.let_go(now, self.hand)
@@ -280,7 +280,7 @@
         if (
             not tried
             and spec.effect is Effect.SAFE
-            and (site := self.sites.due(self.now)) >= 0
+            and (site := self.sites.due_trial(self.now)) >= 0
             and (s := self.least(self.list.groups.get((Group.ZONE, site), ()), r, tried, SAMPLE))
         ):
             return s  # a lost site is asked whether it is back, as nobody would choose it
@@ -329,9 +329,9 @@
         self.slow_start.sent(s, r.work or r.cls.least)
         del s.rested[-1:]
         if self.shares.bounded:
-            self.shares.sent(now, s.zone, self.sites.away(s.zone), bool(r.attempts))
+            self.shares.sent(now, s.zone, self.sites.limited(s.zone), bool(r.attempts))
         if not r.spare:
-            self.sites.sent(now, s.zone, s.id, r.order)
+            self.sites.on_sent(now, s.zone, s.id, r.order)
         write_by_us = r.write_by_us()
         r.attempts.append(a := Attempt(s, now))
         r.open += 1
@@ -394,13 +394,13 @@
             s.queue = s.told / self.shares.alike
         if e.status in (Status.OK, Status.ERROR, Status.FULL, Status.SPOILT):
             s.heard = self.now
-            self.sites.answered(self.now, s.zone, r.order, e.latency_us)
+            self.sites.on_answered(self.now, s.zone, r.order, e.latency_us)
             if e.status is not Status.FULL:
-                self.hand.answered(self.now)
+                self.hand.answer_received(self.now)
         self.judge(s, r, e.status, e.latency_us, unheard=a.sent > s.heard)
         if e.status is Status.FULL and s.fulls == 1:
             # Work turned away again and again says that a server drains, not that there is too much work.
-            self.hand.turned(self.now, r.cls.spec.aim_us)
+            self.hand.request_rejected(self.now, r.cls.spec.aim_us)
         if e.closed or r.closed:
             self.close(r)
         elif r.open:
@@ -436,7 +436,7 @@
         if self.s.cancelling and r.open and not r.streaming:
             safe = r.cls.spec.effect is Effect.SAFE
             for n, a in r.out(but):
-                if not (safe and self.sites.keeps(self.now, a.server.zone)):
+                if not (safe and self.sites.keeps_hedged_attempt(self.now, a.server.zone)):
                     a.called_off = True
                     self.actions.append(Cancel(r.id, n))
 
@@ -464,7 +464,7 @@
         shed = self.shed(e, cls)
         if shed and cls.spec.effect is Effect.SAFE:
             # A balancer that refuses all but orders would never ask whether a lost site is back.
-            r.site = self.sites.spare(self.now)
+            r.site = self.sites.spare_site(self.now)
             r.spare = r.site < 0 and bool(self.list.ready)
         if shed and r.site < 0 and not r.spare or self.hopeless(e, cls) or not self.send(r):
             self.give_up(r)
@@ -501,7 +501,7 @@
             if s := self.list.servers.get(server):
                 self.standings.avoid(s, until, len(self.list.ready))
         for site, (since, until) in e.silent.items():
-            self.sites.tell(self.now, Doubted(site, since, until))
+            self.sites.process(self.now, ReportedSilent(site, since, until))
 
     def wanting(self) -> float:
         """The share of the demand that the servers have no room for."""
@@ -519,8 +519,8 @@
         """
         worth, tenants = cls.spec.worth, self.s.tenants
         if not coming:
-            self.quotas.ask(e.tenant)
-        if over := self.quotas.over(
+            self.quotas.count_request(e.tenant)
+        if over := self.quotas.exceeds_quota(
             e.tenant, self.shares.of_quota(self.now, e.tenant), self.random.random() if tenants else 1.0
         ):
             worth *= self.s.over_share_worth
@@ -531,15 +531,15 @@
             worth *= 2
         rank = self.refusals.rank(worth, e.class_index, e.tenant, over, e.is_retry, warm)
         if not coming:
-            self.refusals.ask(rank)
+            self.refusals.count_request(rank)
         self.pressure = self.wanting()
         pressure = max(self.pressure, self.own)
         if pressure <= 0:
             return False
         # Among equals the key decides, alike on all nodes: what is served then stays the same, and cached.
         luck = (mix(e.key) & HASH) / HASH if e.key else self.random.random()
-        refused = self.refusals.refused(rank, luck, pressure)
+        refused = self.refusals.is_refused(rank, luck, pressure)
         if refused and coming:
-            self.refusals.ask(rank)
-            self.quotas.ask(e.tenant)
+            self.refusals.count_request(rank)
+            self.quotas.count_request(e.tenant)
         return refused
--- a/roadlb/policy/server_list.py
+++ b/roadlb/policy/server_list.py
@@ -10,8 +10,8 @@
 from ..routing.cold import ColdBudget
 from ..routing.key_order import KeyOrder
 from ..routing.standing import Standings
-from ..sites.life import Sites
-from ..sites.warmth import Warmth
+from ..sites.state_machine import Sites
+from ..sites.warm_up import WarmUp
 from .interface import Group, ListKind, ListUpdate, Member, ServerId, ServerState, ServerView, Settings
 from .state import Server
 
@@ -34,7 +34,7 @@
         "weight",
     )
 
-    def __init__(self, standings: Standings, warmth: Warmth) -> None:
+    def __init__(self, standings: Standings, warmth: WarmUp) -> None:
         self.standings = standings
         self.warmth = warmth
         self.fleet = Server(b"")  # stands for all of them
@@ -106,7 +106,7 @@
     def warm(self, sites: Sites) -> float:
         """The capacity of warm servers that take requests: neither ejected nor in a zone that is away."""
         return sum(
-            s.weight for s in self.ready if s.share >= 1 and not s.eject_until and not sites.away(s.zone)
+            s.weight for s in self.ready if s.share >= 1 and not s.eject_until and not sites.limited(s.zone)
         )
 
     def order(self, key: int, count: int) -> list[Server]:
--- a/roadlb/policy/state.py
+++ b/roadlb/policy/state.py
@@ -8,8 +8,8 @@
 from ..routing.cold import ColdBudget
 from ..routing.key_order import HASH, mix
 from ..routing.standing import Standing
-from ..sites.warmth import Warmth
-from ..sites.work_in_hand import WorkInHand
+from ..sites.warm_up import WarmUp
+from ..sites.in_flight_load import InFlightLoad
 from .interface import Effect, RequestClass, ServerId, ServerView, SetTimer
 
 TAU_US = 2_000_000  # memory of a server's mean load
@@ -41,9 +41,9 @@
     def __post_init__(self) -> None:
         self.hash = mix(int.from_bytes(self.id, "big")) & HASH
 
-    def part(self, warmth: Warmth, now: int) -> float:
+    def part(self, warmth: WarmUp, now: int) -> float:
         """The least part of its capacity that it can have by now."""
-        return warmth.part(now, self.zone, self.born)
+        return warmth.capacity_share(now, self.zone, self.born)
 
     def load(self, now: int, aim_us: int) -> float:
         """Own requests in flight, now and on the mean of late, for the capacity; plus a reported queue."""
@@ -166,15 +166,15 @@
         """The attempts in flight that are not called off, by number, except one."""
         return [(n, a) for n, a in enumerate(self.attempts) if a.open and not a.called_off and n != but]
 
-    def hold(self, now: int, hand: WorkInHand) -> None:
+    def hold(self, now: int, hand: InFlightLoad) -> None:
         """It is in work now, till it is let go: answered, given up, or late."""
         self.held = True
-        hand.began(now, self.cls.spec.aim_us)
+        hand.request_started(now, self.cls.spec.aim_us)
 
-    def let_go(self, now: int, hand: WorkInHand) -> None:
+    def let_go(self, now: int, hand: InFlightLoad) -> None:
         if self.held:
             self.held = False
-            hand.ended(now, self.cls.spec.aim_us)
+            hand.request_ended(now, self.cls.spec.aim_us)
 
     def write_by_us(self) -> int:
         """A repeat has to reach its server while what may have run is remembered; 0: at any time."""
--- a/roadlb/shared_state/halls.py
+++ b/roadlb/shared_state/halls.py
@@ -16,7 +16,7 @@
     since so many of them have lost it
     each has said so within HOLD_US              it ends with its age, or once they say something else
 
-The word alone makes no hall lost: `roadlb.sites.life` sends trials only, and goes by what becomes of them.
+The word alone makes no hall lost: `sites.state_machine` sends trials only, and goes by what becomes of them.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from dataclasses import dataclass
 
 from ..sites.events import SiteView, State
-from ..sites.life import DOUBT
+from ..sites.state_machine import DOUBT_FAILURES
 from .events import Key
 
 HOLD_US = 6_000_000  # each tells eight members each half second: of 40, 6% are not heard for so long
@@ -96,7 +96,7 @@
     def tell(self, now: int) -> tuple[HallSign, ...]:
         """What this balancer has to tell now: of halls that it, or anybody heard of late, accuses."""
         self.urgent = False
-        answered = sum(0 <= now - s.heard_us < LATELY_US for s in self._own.values())
+        answered = sum(0 <= now - s.last_answer_us < LATELY_US for s in self._own.values())
         accused = {
             key
             for w in self.witnesses.values()
@@ -105,7 +105,7 @@
         }
         signs = []
         for key, site in self._own.items():
-            heard = now - site.heard_us if site.heard_us >= 0 else -1
+            heard = now - site.last_answer_us if site.last_answer_us >= 0 else -1
             if weight(site) and answered:
                 signs.append(HallSign(key, weight(site), now - site.since_us, heard))
             elif key in accused and 0 <= heard < LATELY_US:
@@ -155,7 +155,7 @@
                 if key in w.claims and w.claims[key].heard > since and now - w.at < HOLD_US
             ]
             weighs = sum(w.claims[key].weight for _, _, w in accusers) - 2 * len(against)
-            if since >= 0 and weighs >= ENOUGH and site.heard_us <= since:
+            if since >= 0 and weighs >= ENOUGH and site.last_answer_us <= since:
                 until = enough(
                     sorted(((w.at + HOLD_US, w.claims[key].weight) for _, _, w in accusers), reverse=True)
                 )
@@ -169,7 +169,7 @@
     """What this balancer's own evidence against a hall weighs."""
     if site.state is State.LOST:
         return 2
-    return int(site.state is State.DOUBTFUL and site.silent >= DOUBT)
+    return int(site.state is State.DOUBTFUL and site.silent >= DOUBT_FAILURES)
 
 
 def enough(weighed: Iterable[tuple[int, int]]) -> int:
--- a/roadlb/sites/events.py
+++ b/roadlb/sites/events.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class ServersListed:
     """The server list has changed: of each site, its servers that are up, with the clock time of their start.
 
     A start of 0 is long ago, or not known.
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answered:
+class ServerAnswered:
     """A server has answered, whatever it said, after `took_us`; an `order` if it was a request that may
     not be repeated."""
 
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Missed:
+class AttemptFailed:
     """An attempt at a server never came up, broke, or was not answered in time."""
 
     site: int
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Sent:
+class RequestSent:
     """A request goes to a server of the site."""
 
     site: int
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Doubted:
+class ReportedSilent:
     """Since this clock time the site does not answer others, who ask it as this balancer could have done;
     they say so until then."""
 
@@ -82,15 +82,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pulse:
+class Tick:
     """Once a second, whatever happens."""
 
 
-Event: TypeAlias = Listed | Answered | Missed | Sent | TakeOut | PutIn | Doubted | Pulse
+Event: TypeAlias = (
+    ServersListed | ServerAnswered | AttemptFailed | RequestSent | TakeOut | PutIn | ReportedSilent | Tick
+)
 
 
 @dataclass(slots=True, frozen=True)
-class Changed:
+class StateChanged:
     """A site is in another state now; `cause` is for a person."""
 
     site: int
@@ -103,7 +105,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Declined:
+class CommandRejected:
     """An operator's word that is not followed, and why."""
 
     site: int
@@ -114,7 +116,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class OrdersKept:
+class OrderAvoidanceChanged:
     """Requests that may not be repeated keep away from the site now, or go there again; why, for a person."""
 
     site: int
@@ -125,7 +127,7 @@
         return f"site {self.site}: orders {'keep away' if self.away else 'go there'}: {self.cause}"
 
 
-Action: TypeAlias = Changed | Declined | OrdersKept
+Action: TypeAlias = StateChanged | CommandRejected | OrderAvoidanceChanged
 
 
 @dataclass(slots=True, frozen=True)
@@ -139,5 +141,5 @@
     silent: int  # servers that failed since the last answer from any
     since_us: int  # clock time of the last change of state
     relapses: int  # losses during or soon after a return, in a row
-    heard_us: int = -1  # clock time of its last answer; -1: never
+    last_answer_us: int = -1  # clock time of its last answer; -1: never
     orders_away: bool = False  # it answers other requests, and orders keep away
--- a/roadlb/sites/forecast.py
+++ b/roadlb/sites/forecast.py
@@ -11,23 +11,23 @@
 from itertools import combinations
 from math import exp
 
-from .life import STEP_US, STEPS
-from .refusal import Refusals
+from .state_machine import RETURN_STEP_US, RETURN_STEPS
+from .refusal import RefusalOrder
 
-USABLE = 0.92  # of a node's capacity carries work in time; beyond it, queues grow
+USABLE_SHARE = 0.92  # of a node's capacity carries work in time; beyond it, queues grow
 KNEE = 10  # how sharply service bends at the limit: higher is sharper
 BORNE = 0.99  # of the worth; less than all, as chance refuses a little near the limit
 SECOND = 1_000_000
 LONGEST_S = 600.0  # a return that takes longer is told as none
-HOMES = 8.0  # nodes among which requests for one key spread: a balancer looks at its first 8
+SERVERS_PER_KEY = 8.0  # nodes among which requests for one key spread: a balancer looks at its first 8
 
 
 @dataclass(slots=True, frozen=True)
-class SiteSize:
+class SiteCapacity:
     """One site: its warm capacity, in standard cores, and how its nodes start."""
 
     name: str
-    nodes: int
+    server_count: int
     capacity: float
     cold_share: float = 1.0
     cold_s: float = 0.0
@@ -39,7 +39,7 @@
     first."""
 
     name: str
-    customer: str
+    tenant: str
     over_share: bool
     per_s: float
     work_s: float
@@ -56,22 +56,24 @@
     """
 
     def held(stay_s: float) -> float:
-        return HOMES * sum(1 - exp(-per_s * part / HOMES * stay_s) for part in parts)
+        return SERVERS_PER_KEY * sum(1 - exp(-per_s * part / SERVERS_PER_KEY * stay_s) for part in parts)
 
     low, stay_s = 0.0, remember_s
     while held(stay_s) > room and stay_s - low > 1e-6:
         middle = (low + stay_s) / 2
         low, stay_s = (low, middle) if held(middle) > room else (middle, stay_s)
-    return sum(part * (1 - exp(-per_s * part / HOMES * stay_s)) for part in parts)
+    return sum(part * (1 - exp(-per_s * part / SERVERS_PER_KEY * stay_s)) for part in parts)
 
 
-def ranked(refusals: Refusals, class_index: int, tenant: int, over_share: bool, worth: float) -> int:
+def first_try_rank(
+    refusals: RefusalOrder, class_index: int, tenant: int, over_share: bool, worth: float
+) -> int:
     """The rank of a first try with a key that is not cached."""
     return refusals.rank(worth, class_index, tenant, over_share, False, False)
 
 
 @dataclass(slots=True, frozen=True)
-class Loss:
+class LossForecast:
     """When these sites are lost.  `load`: work asked of what remains, over what it can carry, by site;
     `kept`: of each demand, the share that is served; `worth`: the share of all worth that is served;
     `back_95_s` and `back_98_s`: from the nodes' start until so much of the usual worth is served again,
@@ -102,7 +104,7 @@
 def carries(capacity: float, work: float) -> float:
     """What this capacity does of so much work.  Demand comes by chance, so that near the limit a part is
     refused in some seconds while others have room.  Far below it does all, far above `USABLE` of itself."""
-    usable = capacity * USABLE
+    usable = capacity * USABLE_SHARE
     if not usable or not work:
         return 0.0
     load = work / usable
@@ -128,7 +130,9 @@
     return sum(d.per_s * d.worth * share for d, share in kept.items()) / asked if asked else 1.0
 
 
-def loss(sites: Sequence[SiteSize], demands: Sequence[Demand], lost: Sequence[str], told_s: float) -> Loss:
+def forecast_loss(
+    sites: Sequence[SiteCapacity], demands: Sequence[Demand], lost: Sequence[str], discovery_delay_s: float
+) -> LossForecast:
     """`told_s`: from a node's start until balancers are told of it.  ValueError for a site there is not."""
     unknown = set(lost) - {site.name for site in sites}
     if unknown:
@@ -137,26 +141,26 @@
     capacity = sum(site.capacity for site in remain)
     work = sum(d.per_s * d.work_s for d in demands)
     kept = keep(capacity, demands)
-    load = {site.name: work / (capacity * USABLE) if capacity else float("inf") for site in remain}
+    load = {site.name: work / (capacity * USABLE_SHARE) if capacity else float("inf") for site in remain}
     usual = worth_share(keep(sum(site.capacity for site in sites), demands))
     gone = [site for site in sites if site.name in lost]
 
     def back(share: float) -> float | None:
         for tenth in range(int(LONGEST_S * 10)):
             at = tenth / 10
-            if worth_share(keep(capacity + returned(gone, at, told_s), demands)) >= share * usual:
+            if worth_share(keep(capacity + returned(gone, at, discovery_delay_s), demands)) >= share * usual:
                 return at
         return None
 
-    return Loss(tuple(lost), load, kept, worth_share(kept), back(0.95), back(0.98))
+    return LossForecast(tuple(lost), load, kept, worth_share(kept), back(0.95), back(0.98))
 
 
-def returned(gone: Sequence[SiteSize], at_s: float, told_s: float) -> float:
+def returned(gone: Sequence[SiteCapacity], at_s: float, discovery_delay_s: float) -> float:
     """The capacity that returning sites give, so long after their nodes started."""
-    if at_s < told_s:
+    if at_s < discovery_delay_s:
         return 0.0
-    step = int((at_s - told_s) * SECOND / STEP_US)
-    allowed = STEPS[step] if step < len(STEPS) else 1.0
+    step = int((at_s - discovery_delay_s) * SECOND / RETURN_STEP_US)
+    allowed = RETURN_STEPS[step] if step < len(RETURN_STEPS) else 1.0
     total = 0.0
     for site in gone:
         warm = min(1.0, at_s / site.cold_s) if site.cold_s else 1.0
@@ -164,25 +168,27 @@
     return total
 
 
-def losses(sites: Sequence[SiteSize], demands: Sequence[Demand], told_s: float) -> list[Loss]:
+def forecast_losses(
+    sites: Sequence[SiteCapacity], demands: Sequence[Demand], discovery_delay_s: float
+) -> list[LossForecast]:
     """None, each site and each pair lost, as long as one remains."""
     names = [site.name for site in sites]
     picks: list[tuple[str, ...]] = [()]
     for count in (1, 2):
         if count < len(names):
             picks += combinations(names, count)
-    return [loss(sites, demands, lost, told_s) for lost in picks]
+    return [forecast_loss(sites, demands, lost, discovery_delay_s) for lost in picks]
 
 
-def curve(
-    sites: Sequence[SiteSize], demands: Sequence[Demand], lost: Sequence[str], times: Sequence[float]
+def worth_curve(
+    sites: Sequence[SiteCapacity], demands: Sequence[Demand], lost: Sequence[str], times: Sequence[float]
 ) -> list[float]:
     """Worth served a second when so many times the demand is asked."""
     capacity = sum(site.capacity for site in sites if site.name not in lost)
     found = []
     for factor in times:
         more = [
-            Demand(d.name, d.customer, d.over_share, d.per_s * factor, d.work_s, d.worth, d.rank)
+            Demand(d.name, d.tenant, d.over_share, d.per_s * factor, d.work_s, d.worth, d.rank)
             for d in demands
         ]
         found.append(sum(d.per_s * d.worth * share for d, share in keep(capacity, more).items()))
--- a/roadlb/sites/work_in_hand.py
+++ b/roadlb/sites/in_flight_load.py
@@ -21,9 +21,9 @@
 from math import exp
 
 BEGIN, FULL = 0.18, 0.46  # of the way from the usual wait to the aim: where shedding begins, and where ...
-MOST = 0.95  # ... all but this would be shed
+MAX_SHED_SHARE = 0.95  # ... all but this would be shed
 DEEP_FROM, DEEP_FULL = 0.8, 0.92  # of the demand goes, in the mean: there the mean begins to decide
-DEEP_MOST, WAY_MOST = 0.99, 1.5
+MAX_SEVERE_SHARE, WAY_MOST = 0.99, 1.5
 BEND, TAIL = 0.9, 0.1  # the curve: beyond 0.9 of the way what is kept falls by e for each 0.1
 QUICK = 0.15  # of what the wait departs from its mean counts at once
 STEADY_US, PROVEN_US = 1_500_000, 2_000_000  # the mean is over this time, and proves itself in that
@@ -41,7 +41,7 @@
 DEEP, RISE_DEEP_US = 0.3, 300_000_000
 
 
-class Steady:
+class SmoothedShare:
     """The share that goes where nearly all must, for long: by the mean of the wait."""
 
     __slots__ = ("_proven", "_share", "_way")
@@ -69,11 +69,11 @@
         sure = min(1.0, (UNSURE_US - gap) / (UNSURE_US - SURE_US))
         if deep <= 0 or sure <= 0:
             return quick
-        held = min(DEEP_MOST, max(0.0, self._share + QUICK * (way - self._way)))
+        held = min(MAX_SEVERE_SHARE, max(0.0, self._share + QUICK * (way - self._way)))
         return quick + (held - quick) * min(1.0, deep) * sure
 
 
-class WorkInHand:
+class InFlightLoad:
     """One balancer's requests at servers, and the answers to them."""
 
     __slots__ = (
@@ -85,41 +85,41 @@
         "_heard_at",
         "_mean",
         "_steady",
-        "_usual",
+        "_baseline",
         "_usual_at",
         "_weight",
-        "out",
+        "in_flight_count",
     )
 
     def __init__(self) -> None:
-        self.out, self._weight = 0, 0.0  # in hand: how many, and the sum of 1 / aim
+        self.in_flight_count, self._weight = 0, 0.0  # in hand: how many, and the sum of 1 / aim
         self._at, self._mean = 0, 0.0  # when it was brought up to date; the mean of that sum of late
         # Answers, and microseconds with something in hand, of late: idle times say nothing of the pace.
         self._answers, self._busy = 0.0, 0.0
         self._heard_at, self._gap = 0, 20_000.0
-        self._usual, self._usual_at, self._first_at = 0.2, 0, 0  # the wait with room to spare
-        self._steady = Steady()
+        self._baseline, self._usual_at, self._first_at = 0.2, 0, 0  # the wait with room to spare
+        self._steady = SmoothedShare()
 
-    def began(self, now: int, aim_us: int) -> None:
+    def request_started(self, now: int, aim_us: int) -> None:
         """A request whose class has this aim goes to a server for the first time."""
         self._upto(now)
-        self.out += 1
+        self.in_flight_count += 1
         self._weight += 1 / aim_us
 
-    def ended(self, now: int, aim_us: int) -> None:
+    def request_ended(self, now: int, aim_us: int) -> None:
         """It has its answer, was given up, or is late."""
         self._upto(now)
-        self.out -= 1
-        self._weight = self._weight - 1 / aim_us if self.out else 0.0
+        self.in_flight_count -= 1
+        self._weight = self._weight - 1 / aim_us if self.in_flight_count else 0.0
 
-    def answered(self, now: int) -> None:
+    def answer_received(self, now: int) -> None:
         """A server has answered a request that it ran."""
         self._upto(now)
         self._answers += 1
         self._gap += (min(GAP_MOST_US, now - self._heard_at) - self._gap) * 0.05
         self._heard_at = now
 
-    def turned(self, now: int, aim_us: int) -> None:
+    def request_rejected(self, now: int, aim_us: int) -> None:
         """A server had no room for a request: as good as one more that waits."""
         self._upto(now)
         self._mean += 1 / aim_us
@@ -130,7 +130,7 @@
             return
         self._at = now
         self._mean += (self._weight - self._mean) * (1 - exp(-passed / max(HAND_US, HAND_GAPS * self._gap)))
-        if self.out:
+        if self.in_flight_count:
             kept = exp(-passed / self._span)
             self._answers *= kept
             self._busy = self._busy * kept + passed
@@ -139,7 +139,7 @@
     def _span(self) -> float:
         return max(PACE_US, PACE_GAPS * self._gap)
 
-    def wait(self, now: int) -> float:
+    def expected_wait(self, now: int) -> float:
         """What a request sent now will take, in the mean, in parts of its aim; 0 while too little is
         known."""
         self._upto(now)
@@ -149,16 +149,16 @@
 
     def shortage(self, now: int) -> float:
         """The share of the demand, 0..DEEP_MOST, that is to be refused."""
-        if not self.out and self._mean < 1e-9:
+        if not self.in_flight_count and self._mean < 1e-9:
             self._steady.clear()
             return 0.0
-        wait = self.wait(now)
+        wait = self.expected_wait(now)
         if wait <= 0.0:
             return 0.0
-        usual = self._usual
+        usual = self._baseline
         begin, full = usual + BEGIN * (1 - usual), usual + FULL * (1 - usual)
         way = max(0.0, (wait - begin) / (full - begin))
-        share = min(MOST, way)
+        share = min(MAX_SHED_SHARE, way)
         passed, self._usual_at, most = now - self._usual_at, now, USUAL_MOST
         self._first_at = self._first_at or now
         if now - self._first_at < FIRST_US:
@@ -167,5 +167,5 @@
             slow = PACE_US
         else:
             slow = RISE_US if share <= 0 else RISE_SHED_US if share < DEEP else RISE_DEEP_US
-        self._usual = min(most, usual + (wait - usual) * (1 - exp(-passed / slow)))
+        self._baseline = min(most, usual + (wait - usual) * (1 - exp(-passed / slow)))
         return self._steady.share(way, share, passed, self._gap)
--- a/roadlb/sites/refusal.py
+++ b/roadlb/sites/refusal.py
@@ -38,16 +38,16 @@
         )
 
 
-class Refusals:
+class RefusalOrder:
     """What one balancer was asked for lately, by rank, and so who goes."""
 
-    __slots__ = ("asked", "plan", "total")
+    __slots__ = ("requests_by_rank", "plan", "request_count")
 
     def __init__(self, plan: Sequence[PlanLine] = ()) -> None:
-        self.asked, self.total = [0.0] * RANKS, 0.0
-        self.begin(plan)
+        self.requests_by_rank, self.request_count = [0.0] * RANKS, 0.0
+        self.set_plan(plan)
 
-    def begin(self, plan: Sequence[PlanLine]) -> None:
+    def set_plan(self, plan: Sequence[PlanLine]) -> None:
         """Ranks mean something else from now on: what was counted in each is dropped.
 
         The same share goes from the first request on, at first by chance rather than by rank.
@@ -55,7 +55,7 @@
         if len(plan) >= RANKS:
             raise ValueError(f"refusal.plan: {len(plan)} lines; at most {RANKS - 1}")
         self.plan = tuple(plan)
-        self.asked, self.total = [0.0] * RANKS, 0.0
+        self.requests_by_rank, self.request_count = [0.0] * RANKS, 0.0
 
     def rank(
         self, worth: float, class_index: int, tenant: int, over_share: bool, repeat: bool, warm_key: bool
@@ -68,22 +68,25 @@
                 return number
         return RANKS - 1
 
-    def ask(self, rank: int) -> None:
+    def count_request(self, rank: int) -> None:
         """A request of this rank has come."""
-        self.asked[rank] += 1
-        self.total += 1
+        self.requests_by_rank[rank] += 1
+        self.request_count += 1
 
-    def refused(self, rank: int, luck: float, share: float) -> bool:
+    def is_refused(self, rank: int, luck: float, share: float) -> bool:
         """Does it go if this share of the demand, 0..1, goes?  `luck`, 0..1, orders equals."""
-        return sum(self.asked[:rank]) + luck * self.asked[rank] < share * self.total
+        return (
+            sum(self.requests_by_rank[:rank]) + luck * self.requests_by_rank[rank]
+            < share * self.request_count
+        )
 
-    def fade(self) -> None:
+    def decay(self) -> None:
         """Once a second."""
-        self.asked = [count * FADE for count in self.asked]
-        self.total = sum(self.asked)
+        self.requests_by_rank = [count * FADE for count in self.requests_by_rank]
+        self.request_count = sum(self.requests_by_rank)
 
 
-class Quotas:
+class QuotaUsage:
     """What customers ask of one of `parts` balancers, against their shares of the whole."""
 
     __slots__ = ("counts", "_quotas", "_rates")
@@ -97,16 +100,16 @@
         """Requests a second of each customer, on the mean of late."""
         return tuple(self._rates)
 
-    def ask(self, tenant: int) -> None:
+    def count_request(self, tenant: int) -> None:
         """A request of this customer has come."""
         if tenant < len(self.counts):
             self.counts[tenant] += 1
 
-    def over(self, tenant: int, parts: float, luck: float) -> bool:
+    def exceeds_quota(self, tenant: int, parts: float, luck: float) -> bool:
         """Is this request beyond its customer's share?  `luck`, 0..1, spreads the excess over all of them."""
         return tenant < len(self._rates) and self._rates[tenant] * luck > self._quotas[tenant] / parts
 
-    def fade(self) -> None:
+    def decay(self) -> None:
         """Once a second."""
         self._rates = [
             rate * FADE + count * (1 - FADE) for rate, count in zip(self._rates, self.counts, strict=True)
--- a/roadlb/sites/life.py
+++ b/roadlb/sites/state_machine.py
@@ -65,35 +65,37 @@
 
 from .events import (
     Action,
-    Answered,
-    Changed,
-    Declined,
-    Doubted,
+    ServerAnswered,
+    StateChanged,
+    CommandRejected,
+    ReportedSilent,
     Event,
-    Listed,
-    Missed,
-    OrdersKept,
+    ServersListed,
+    AttemptFailed,
+    OrderAvoidanceChanged,
     PutIn,
-    Sent,
+    RequestSent,
     SiteView,
     State,
     TakeOut,
 )
 
-DOUBT, LOSS = 2, 3  # servers of a site that have failed, with no answer from any of it meanwhile
-DOUBT_US = 1_500_000  # so long it may be in doubt: then one more failure is enough
-TRIAL_US = 1_000_000  # between two requests that try a lost or doubtful site
-TRIAL_PART = 20  # and between two trials at least so many requests of this balancer
-TRIAL_MOST_US = 8_000_000  # the same for one that relapses again and again
-QUIET_US, KEEP_US = 1_000_000, 250_000  # unheard for so long; between attempts that then run to their end
-QUIET_TIMES, QUIET_MOST_US = 4, 3_000_000  # or for so often its slowest answer, and at the most
-SLOW_US = 5_000_000  # a slowest answer is of late for so long
-SHORT_US = 1_000_000  # lost for less than this, it is whole with its first answer: nothing is cold
-STEP_US = 500_000  # a step of the return takes at least this long ...
-STEP_ANSWERS = 2  # ... and so many answers
-STEPS = (0.25, 0.5)  # shares of its usual load, on the way back
-STEADY_US = 10_000_000  # whole for this long: earlier losses and relapses are forgotten
-MOST_SITES = 256  # beyond them, a site is always whole
+# servers of a site that have failed, with no answer from any of it meanwhile
+DOUBT_FAILURES, LOSS_FAILURES = 2, 3
+MAX_DOUBT_US = 1_500_000  # so long it may be in doubt: then one more failure is enough
+TRIAL_INTERVAL_US = 1_000_000  # between two requests that try a lost or doubtful site
+REQUESTS_PER_TRIAL = 20  # and between two trials at least so many requests of this balancer
+MAX_TRIAL_INTERVAL_US = 8_000_000  # the same for one that relapses again and again
+# unheard for so long; between attempts that then run to their end
+MIN_SILENCE_US, KEPT_ATTEMPT_INTERVAL_US = 1_000_000, 250_000
+SILENCE_LATENCY_MULTIPLE, MAX_SILENCE_US = 4, 3_000_000  # or for so often its slowest answer, and at the most
+SLOWEST_ANSWER_WINDOW_US = 5_000_000  # a slowest answer is of late for so long
+SHORT_OUTAGE_US = 1_000_000  # lost for less than this, it is whole with its first answer: nothing is cold
+RETURN_STEP_US = 500_000  # a step of the return takes at least this long ...
+RETURN_STEP_ANSWERS = 2  # ... and so many answers
+RETURN_STEPS = (0.25, 0.5)  # shares of its usual load, on the way back
+STABLE_US = 10_000_000  # whole for this long: earlier losses and relapses are forgotten
+MAX_SITES = 256  # beyond them, a site is always whole
 
 
 class Site:
@@ -137,7 +139,7 @@
         self.servers: Mapping[bytes, int] = {}
         self.born = 0  # the newest start among its servers
         self.trial_at, self.relapses = 0, 0
-        self.back = -STEADY_US  # whole again after a loss since then
+        self.back = -STABLE_US  # whole again after a loss since then
         self.step, self.step_at, self.answers = 0, 0, 0
         self.usual = 0.0  # requests a second that it would get, were it whole
         self.room, self.room_at = 0.0, 0  # of them, what it may still take on its return
@@ -160,45 +162,45 @@
     and `view` change nothing.
     """
 
-    __slots__ = ("_orders_away", "_troubled", "decided", "sites", "trial_us")
+    __slots__ = ("_orders_away", "_troubled", "pending_actions", "sites", "trial_us")
 
     def __init__(self) -> None:
         self.sites: dict[int, Site] = {}
         self._troubled: dict[int, Site] = {}  # those that are not whole, or have a silent server
         self._orders_away: dict[int, Site] = {}  # those that orders keep away from
-        self.decided: list[Action] = []
-        self.trial_us = TRIAL_US
+        self.pending_actions: list[Action] = []
+        self.trial_us = TRIAL_INTERVAL_US
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        self.tell(now, event)
-        return self.take()
+        self.process(now, event)
+        return self.take_actions()
 
-    def tell(self, now: int, event: Event) -> None:
+    def process(self, now: int, event: Event) -> None:
         """As `handle`; what is decided waits for `take`."""
-        if isinstance(event, Answered):
-            self.answered(now, event.site, event.order, event.took_us)
-        elif isinstance(event, Missed):
-            self.missed(now, event.site, event.server, event.order)
-        elif isinstance(event, Sent):
-            self.sent(now, event.site, event.server, event.order)
-        elif isinstance(event, Listed):
-            self._listed(now, event)
+        if isinstance(event, ServerAnswered):
+            self.on_answered(now, event.site, event.order, event.took_us)
+        elif isinstance(event, AttemptFailed):
+            self.on_failed(now, event.site, event.server, event.order)
+        elif isinstance(event, RequestSent):
+            self.on_sent(now, event.site, event.server, event.order)
+        elif isinstance(event, ServersListed):
+            self._update_list(now, event)
         elif isinstance(event, TakeOut):
             self._take_out(now, event.site)
         elif isinstance(event, PutIn):
             self._put_in(now, event.site)
-        elif isinstance(event, Doubted):
+        elif isinstance(event, ReportedSilent):
             self._doubted(now, event)
         else:
             self._pulse(now)
 
-    def take(self) -> list[Action]:
+    def take_actions(self) -> list[Action]:
         """What has been decided since the last call."""
-        decided, self.decided = self.decided, []
-        return decided
+        pending_actions, self.pending_actions = self.pending_actions, []
+        return pending_actions
 
-    def _become(self, now: int, site: Site, state: State, cause: str) -> None:
-        self.decided.append(Changed(site.number, site.state, state, cause))
+    def _set_state(self, now: int, site: Site, state: State, cause: str) -> None:
+        self.pending_actions.append(StateChanged(site.number, site.state, state, cause))
         if state is State.WHOLE and site.state is not State.DOUBTFUL:
             site.back = now
         site.state, site.since = state, now
@@ -209,11 +211,11 @@
 
     # What the list and operators say
 
-    def _listed(self, now: int, event: Listed) -> None:
+    def _update_list(self, now: int, event: ServersListed) -> None:
         for number, servers in event.sites.items():
             site = self.sites.get(number)
             if site is None:
-                if len(self.sites) >= MOST_SITES:
+                if len(self.sites) >= MAX_SITES:
                     continue
                 site = self.sites[number] = Site(number)
             self._forget(now, site, servers)
@@ -240,45 +242,45 @@
             site.orders_failed = {
                 s for s in site.orders_failed if s in servers and servers[s] == site.servers.get(s)
             }
-            if site.orders_away and len(site.orders_failed) < DOUBT:
+            if site.orders_away and len(site.orders_failed) < DOUBT_FAILURES:
                 self._orders_go(site, "those that failed orders have left the list")
         if not site.silent or site.state is State.LOST:
             return
         site.silent = {s for s in site.silent if s in servers and servers[s] == site.servers.get(s)}
-        if site.state is State.DOUBTFUL and len(site.silent) < DOUBT and now >= site.hearsay:
-            self._become(now, site, State.WHOLE, "those that failed have left the list")
+        if site.state is State.DOUBTFUL and len(site.silent) < DOUBT_FAILURES and now >= site.hearsay:
+            self._set_state(now, site, State.WHOLE, "those that failed have left the list")
         elif site.state is State.WHOLE and not site.silent:
             self._troubled.pop(site.number, None)
 
     def _take_out(self, now: int, number: int) -> None:
         site = self.sites.get(number)
         if site is None:
-            self.decided.append(Declined(number, "no such site in the list"))
+            self.pending_actions.append(CommandRejected(number, "no such site in the list"))
         elif not any(
             other.state is not State.OUT and other.servers
             for other in self.sites.values()
             if other is not site
         ):
-            self.decided.append(Declined(number, "it is the last one in service"))
+            self.pending_actions.append(CommandRejected(number, "it is the last one in service"))
         elif site.state is not State.OUT:
-            self._become(now, site, State.OUT, "an operator's word")
+            self._set_state(now, site, State.OUT, "an operator's word")
 
     def _put_in(self, now: int, number: int) -> None:
         site = self.sites.get(number)
         if site is None:
-            self.decided.append(Declined(number, "no such site in the list"))
+            self.pending_actions.append(CommandRejected(number, "no such site in the list"))
         elif site.state is State.OUT:
             site.silent.clear()
             self._orders_go(site, "an operator's word")
             self._return(now, site, "an operator's word")
 
-    def _doubted(self, now: int, event: Doubted) -> None:
+    def _doubted(self, now: int, event: ReportedSilent) -> None:
         site = self.sites.get(event.site)
         if (
             site is None
             or now >= event.until_us
             or event.since_us <= site.heard
-            or (len(site.servers) < LOSS or site.state not in (State.WHOLE, State.DOUBTFUL))
+            or (len(site.servers) < LOSS_FAILURES or site.state not in (State.WHOLE, State.DOUBTFUL))
         ):
             return
         if not any(
@@ -289,18 +291,18 @@
             site.trial_at = now  # if they are wrong, this ends it
         site.hearsay = event.until_us
         if site.state is State.WHOLE:
-            self._become(now, site, State.DOUBTFUL, "it does not answer others")
+            self._set_state(now, site, State.DOUBTFUL, "it does not answer others")
 
     # What happens for each request
 
-    def answered(self, now: int, number: int, order: bool = False, took_us: int = 0) -> None:
+    def on_answered(self, now: int, number: int, order: bool = False, took_us: int = 0) -> None:
         """A server of it has answered, `took_us` after it was asked; an `order` if it was a request that may
         not be repeated."""
         site = self.sites.get(number)
         if site is None:
             return
         site.heard, site.overtaken = now, 0
-        if took_us >= site.slow or now - site.slow_at > SLOW_US:
+        if took_us >= site.slow or now - site.slow_at > SLOWEST_ANSWER_WINDOW_US:
             site.slow, site.slow_at = took_us, now
         if order:
             site.order_heard = now
@@ -313,76 +315,80 @@
         if state is State.WHOLE:
             del self._troubled[number]
         elif state is State.DOUBTFUL:
-            if by_trials and now - site.since >= SHORT_US:
+            if by_trials and now - site.since >= SHORT_OUTAGE_US:
                 self._return(now, site, "a server answers")
             else:
-                self._become(now, site, State.WHOLE, "a server answers")
+                self._set_state(now, site, State.WHOLE, "a server answers")
         elif state is State.LOST:
             if not site.orders_away:
                 site.orders_failed.clear()
-            if now - site.since < SHORT_US and not site.relapses:
-                self._become(now, site, State.WHOLE, "a server answers at once")
+            if now - site.since < SHORT_OUTAGE_US and not site.relapses:
+                self._set_state(now, site, State.WHOLE, "a server answers at once")
             else:
                 self._return(now, site, "a server answers")
         elif state is State.RETURNING:
             site.answers += 1 if site.servers else 0
-            if site.answers >= STEP_ANSWERS and now - site.step_at >= STEP_US:
+            if site.answers >= RETURN_STEP_ANSWERS and now - site.step_at >= RETURN_STEP_US:
                 site.step, site.step_at, site.answers = site.step + 1, now, 0
-                if site.step >= len(STEPS):
-                    self._become(now, site, State.WHOLE, "it has carried every step")
+                if site.step >= len(RETURN_STEPS):
+                    self._set_state(now, site, State.WHOLE, "it has carried every step")
 
     def _return(self, now: int, site: Site, cause: str) -> None:
         self._first_step(now, site)
-        self._become(now, site, State.RETURNING, cause)
+        self._set_state(now, site, State.RETURNING, cause)
 
     def _first_step(self, now: int, site: Site) -> None:
         site.step, site.step_at, site.answers, site.room, site.room_at = 0, now, 0, 1.0, now
 
-    def missed(self, now: int, number: int, server: bytes, order: bool = False) -> bool:
+    def on_failed(self, now: int, number: int, server: bytes, order: bool = False) -> bool:
         """An attempt there failed with no answer.  Is the site lost by this one?"""
         site = self.sites.get(number)
         if (
             site is None
             or site.state is State.OUT
             or site.state is State.LOST
-            or (len(site.servers) < LOSS or server not in site.servers)
+            or (len(site.servers) < LOSS_FAILURES or server not in site.servers)
         ):
             return False
         if order:
             self._order_missed(now, site, server)
         if not site.silent:
             site.silent_since = now
-        if len(site.silent) < LOSS:
+        if len(site.silent) < LOSS_FAILURES:
             site.silent.add(server)
         self._troubled[number] = site
         failed = len(site.silent)
-        if site.state is State.RETURNING and failed >= DOUBT:
+        if site.state is State.RETURNING and failed >= DOUBT_FAILURES:
             self._lose(now, site, f"{failed} servers fail on its return")
             return True
-        waited = site.state is State.DOUBTFUL and now - site.since >= DOUBT_US and failed >= DOUBT
-        quiet = now - site.heard >= max(QUIET_US, min(QUIET_MOST_US, QUIET_TIMES * site.slow))
-        if quiet and (failed >= LOSS or waited) and self._others_answer(site):
+        waited = (
+            site.state is State.DOUBTFUL and now - site.since >= MAX_DOUBT_US and failed >= DOUBT_FAILURES
+        )
+        quiet = now - site.heard >= max(
+            MIN_SILENCE_US, min(MAX_SILENCE_US, SILENCE_LATENCY_MULTIPLE * site.slow)
+        )
+        if quiet and (failed >= LOSS_FAILURES or waited) and self._others_answer(site):
             self._lose(now, site, f"{failed} servers fail, none answers")
             return True
-        if failed >= DOUBT and site.state is State.WHOLE:
+        if failed >= DOUBT_FAILURES and site.state is State.WHOLE:
             site.trial_at = now + self._trial_us(site)
-            self._become(now, site, State.DOUBTFUL, f"{failed} servers fail, none answers")
+            self._set_state(now, site, State.DOUBTFUL, f"{failed} servers fail, none answers")
         return False
 
     def _order_missed(self, now: int, site: Site, server: bytes) -> None:
         if not site.orders_failed:
             site.orders_since = now
-        if len(site.orders_failed) < LOSS:
+        if len(site.orders_failed) < LOSS_FAILURES:
             site.orders_failed.add(server)
         if site.orders_away:
             if server == site.order_trial:
                 site.order_trial, site.trials_failed = b"", site.trials_failed + 1
-                site.order_at = now + min(TRIAL_MOST_US, self.trial_us << min(site.trials_failed, 3))
+                site.order_at = now + min(MAX_TRIAL_INTERVAL_US, self.trial_us << min(site.trials_failed, 3))
             return
         if (
-            len(site.orders_failed) >= LOSS
+            len(site.orders_failed) >= LOSS_FAILURES
             and site.heard >= site.orders_since
-            and (now - site.order_heard >= QUIET_US)
+            and (now - site.order_heard >= MIN_SILENCE_US)
             and any(
                 other.order_heard >= site.orders_since for other in self.sites.values() if other is not site
             )
@@ -390,8 +396,8 @@
             site.orders_away, site.order_trial, site.trials_failed = True, b"", 0
             site.order_at = now + self.trial_us
             self._orders_away[site.number] = site
-            self.decided.append(
-                OrdersKept(
+            self.pending_actions.append(
+                OrderAvoidanceChanged(
                     site.number,
                     True,
                     f"{len(site.orders_failed)} servers fail them and answer other requests",
@@ -404,9 +410,9 @@
         if site.orders_away:
             site.orders_away = False
             del self._orders_away[site.number]
-            self.decided.append(OrdersKept(site.number, False, cause))
+            self.pending_actions.append(OrderAvoidanceChanged(site.number, False, cause))
 
-    def overtaken(self, now: int, number: int, server: bytes) -> None:
+    def on_hedge_won(self, now: int, number: int, server: bytes) -> None:
         """An attempt was called off unheard, as its copy was answered: too little to raise a doubt, but
         enough to end a long one, for each trial of a silent site is overtaken.  Where two servers have ended
         and the rest are cold, the copies are quicker for a while as well."""
@@ -414,38 +420,43 @@
         if site is None:
             return
         site.overtaken += 1
-        if site.state is State.DOUBTFUL and now - site.since >= DOUBT_US:
-            self.missed(now, number, server)
+        if site.state is State.DOUBTFUL and now - site.since >= MAX_DOUBT_US:
+            self.on_failed(now, number, server)
 
-    def keeps(self, now: int, number: int) -> bool:
+    def keeps_hedged_attempt(self, now: int, number: int) -> bool:
         """Is an attempt there to run to its end, though its copy has been answered?
 
         Where copies rescue all, nothing would tell a site that is lost from one that is slow: the latter's
         attempt is answered at last."""
         site = self.sites.get(number)
-        if site is None or site.overtaken < LOSS or now - site.heard < QUIET_US or now < site.keep_at:
+        if (
+            site is None
+            or site.overtaken < LOSS_FAILURES
+            or now - site.heard < MIN_SILENCE_US
+            or now < site.keep_at
+        ):
             return False
-        site.keep_at = now + KEEP_US
+        site.keep_at = now + KEPT_ATTEMPT_INTERVAL_US
         return True
 
     def _lose(self, now: int, site: Site, cause: str) -> None:
-        if site.state is State.RETURNING or now - site.back < STEADY_US:
+        if site.state is State.RETURNING or now - site.back < STABLE_US:
             site.relapses += 1
         site.trial_at = now + self._trial_us(site)
-        self._become(now, site, State.LOST, cause)
+        self._set_state(now, site, State.LOST, cause)
 
     def _trial_us(self, site: Site) -> int:
-        return min(TRIAL_MOST_US, self.trial_us << min(site.relapses, 3))
+        return min(MAX_TRIAL_INTERVAL_US, self.trial_us << min(site.relapses, 3))
 
     def _others_answer(self, site: Site) -> bool:
         """Has any other site answered since this one fell silent?"""
         return any(other.heard >= site.silent_since and other is not site for other in self.sites.values())
 
-    def sent(self, now: int, number: int, server: bytes = b"", order: bool = False) -> None:
+    def on_sent(self, now: int, number: int, server: bytes = b"", order: bool = False) -> None:
         """A request goes there: a trial, if the site is lost, and the next one waits for its turn."""
         if order and number in self._orders_away:
             away = self._orders_away[number]
-            away.order_trial, away.order_at = server, now + TRIAL_MOST_US  # if it is never heard of
+            away.order_trial, away.order_at = server, now + MAX_TRIAL_INTERVAL_US  # if it is never heard of
         site = self._troubled.get(number)
         if site is None:
             return
@@ -455,7 +466,14 @@
             site.room = self._room(now, site) - 1.0
             site.room_at = now
 
-    def shut(self, now: int, number: int, repeatable: bool, bold: bool = False, spare: bool = False) -> bool:
+    def is_closed(
+        self,
+        now: int,
+        number: int,
+        repeatable: bool,
+        last_resort: bool = False,
+        otherwise_refused: bool = False,
+    ) -> bool:
         """Is it out of bounds for a request now?  A bold one has nowhere else to go; only an operator's word
         keeps it away, or, if it may not be repeated, a loss: better refused than lost.  A spare one would
         else be refused: it waits for no step of a return."""
@@ -465,7 +483,7 @@
         if site is None:
             return False
         state = site.state
-        if bold or state is State.OUT:
+        if last_resort or state is State.OUT:
             return state is State.OUT or state is State.LOST and not repeatable
         if state is State.LOST:
             return now < site.trial_at or not repeatable
@@ -474,22 +492,22 @@
         return (
             state is State.DOUBTFUL
             and not repeatable
-            or (state is State.RETURNING and not spare and self._room(now, site) < 1.0)
+            or (state is State.RETURNING and not otherwise_refused and self._room(now, site) < 1.0)
         )
 
     def _room(self, now: int, site: Site) -> float:
         """Requests that a returning site may take now, saved for a quarter of a second at the most."""
-        rate = STEPS[site.step] * site.usual
+        rate = RETURN_STEPS[site.step] * site.usual
         return min(max(1.0, rate / 4), site.room + max(1.0, rate) * (now - site.room_at) / 1e6)
 
-    def away(self, number: int) -> bool:
+    def limited(self, number: int) -> bool:
         """Is it lost, on its way back, or tried on others' word?"""
         site = self._troubled.get(number)
         return site is not None and (
             site.state is State.LOST or site.state is State.RETURNING or site.hearsay > 0
         )
 
-    def due(self, now: int) -> int:
+    def due_trial(self, now: int) -> int:
         """A lost or doubtful site that a repeatable request should try now; -1: there is none."""
         for number, site in self._troubled.items():
             asks = site.state is State.LOST or site.state is State.DOUBTFUL
@@ -497,7 +515,7 @@
                 return number
         return -1
 
-    def spare(self, now: int) -> int:
+    def spare_site(self, now: int) -> int:
         """A site that a repeatable request can go to although the others have no room: it is to be tried, or
         may take more on its return; -1: there is none."""
         if not self._troubled:
@@ -505,9 +523,9 @@
         for number, site in self._troubled.items():
             if site.state is State.RETURNING and site.servers and self._room(now, site) >= 1.0:
                 return number
-        return self.due(now)
+        return self.due_trial(now)
 
-    def usual(self, servers: Iterable[tuple[int, float]]) -> None:
+    def set_usual_rates(self, servers: Iterable[tuple[int, float]]) -> None:
         """What this balancer would send to each server now, were its site whole: (site, requests a
         second)."""
         rates: dict[int, float] = {}
@@ -517,16 +535,18 @@
             if number in self.sites:
                 self.sites[number].usual = rate
         asked = max(1.0, sum(rates.values()))
-        self.trial_us = max(TRIAL_US, min(TRIAL_MOST_US, int(TRIAL_PART * 1e6 / asked)))
+        self.trial_us = max(
+            TRIAL_INTERVAL_US, min(MAX_TRIAL_INTERVAL_US, int(REQUESTS_PER_TRIAL * 1e6 / asked))
+        )
 
     def _pulse(self, now: int) -> None:
         for site in self.sites.values():
-            if site.relapses and site.state is State.WHOLE and now - site.since > STEADY_US:
+            if site.relapses and site.state is State.WHOLE and now - site.since > STABLE_US:
                 site.relapses = 0
             if site.hearsay and now >= site.hearsay:
                 site.hearsay = 0
-                if site.state is State.DOUBTFUL and len(site.silent) < DOUBT:
-                    self._become(now, site, State.WHOLE, "others say so no longer")
+                if site.state is State.DOUBTFUL and len(site.silent) < DOUBT_FAILURES:
+                    self._set_state(now, site, State.WHOLE, "others say so no longer")
 
     def view(self) -> list[SiteView]:
         """What is believed of all sites, in their order."""
@@ -535,7 +555,7 @@
             SiteView(
                 n,
                 site.state,
-                shares.get(site.state, STEPS[min(site.step, len(STEPS) - 1)]),
+                shares.get(site.state, RETURN_STEPS[min(site.step, len(RETURN_STEPS) - 1)]),
                 len(site.servers),
                 len(site.silent),
                 site.since,
--- a/roadlb/sites/warmth.py
+++ b/roadlb/sites/warm_up.py
@@ -15,30 +15,30 @@
 
 from collections.abc import Iterable
 
-from .events import Action, Changed, State
+from .events import Action, StateChanged, State
 
-LISTED_US = 4_000_000  # a started server is listed for every balancer by then (the lab: 3.4 s at most)
+LISTING_DELAY_US = 4_000_000  # a started server is listed for every balancer by then (the lab: 3.4 s at most)
 
 
-class Warmth:
+class WarmUp:
     """Of all servers, as one balancer knows of them."""
 
     __slots__ = ("_back", "_cold_from", "_cold_us", "_lost")
 
     def __init__(self, cold_from: float, cold_us: int) -> None:
-        self.grow(cold_from, cold_us)
+        self.configure(cold_from, cold_us)
         self._lost: dict[int, int] = {}  # by site: since when it was lost, the last time
         self._back: dict[int, int] = {}  # and when it answered again
 
-    def grow(self, cold_from: float, cold_us: int) -> None:
+    def configure(self, cold_from: float, cold_us: int) -> None:
         """Of its capacity a server has `cold_from` when it starts, and all after `cold_us`; 0: at once."""
         self._cold_from, self._cold_us = cold_from, cold_us
 
-    def hear(self, now: int, decided: Iterable[Action]) -> bool:
+    def observe(self, now: int, decided: Iterable[Action]) -> bool:
         """What is decided of sites.  May any servers be colder by it than they were?"""
         colder = False
         for change in decided:
-            if not isinstance(change, Changed):
+            if not isinstance(change, StateChanged):
                 continue
             if change.after is State.LOST:
                 self._lost[change.site] = now
@@ -48,10 +48,10 @@
                 self._back[change.site], colder = now, True  # the first time since it was lost
         return colder
 
-    def part(self, now: int, site: int, born: int) -> float:
+    def capacity_share(self, now: int, site: int, born: int) -> float:
         """Of a server of this site that by the list has started at `born`; 0: long ago."""
         back = self._back.get(site)
-        if back is not None and now - back < LISTED_US and born < self._lost[site]:
+        if back is not None and now - back < LISTING_DELAY_US and born < self._lost[site]:
             born = back
         if not born or not self._cold_us:
             return 1.0
--- a/roadlb/wiring/standard.py
+++ b/roadlb/wiring/standard.py
@@ -85,7 +85,7 @@
             lambda: app.discovery.filled and app.lifecycle.healthy,
             app.clock,
             app.wheel,
-            app.own_load.came_us,
+            app.own_load.earliest_arrival_us,
         )
         app.frontend.deadlines(app.settings)  # a store's version holds by now
         await super().start()
--- a/setup.py
+++ b/setup.py
@@ -20,10 +20,10 @@
     "routing/shares",
     "routing/standing",
     "sites/events",
-    "sites/life",
+    "sites/state_machine",
     "sites/refusal",
-    "sites/warmth",
-    "sites/work_in_hand",
+    "sites/warm_up",
+    "sites/in_flight_load",
     "policy/interface",
     "policy/state",
     "policy/server_list",
@@ -38,7 +38,7 @@
     "net/server_connection",
     "net/pool",
     "net/server_connections",
-    "overload/pulse",
+    "overload/loop_monitor",
     "own_load",
 )
 
--- a/tests/engine/test_own_load.py
+++ b/tests/engine/test_own_load.py
@@ -14,8 +14,8 @@
 from roadlb.engine import Engine
 from roadlb.exchange import Answer, AttemptOutcome, Exchange, Message, Refusal, Result, Served
 from roadlb.overload.meter import Limits
-from roadlb.overload.pulse import BEAT_US
-from roadlb.own_load import LATE_ENOUGH_US, OwnLoad
+from roadlb.overload.loop_monitor import BEAT_INTERVAL_US
+from roadlb.own_load import MIN_KERNEL_QUERY_DELAY_US, OwnLoad
 from roadlb.policy.interface import Action, Event, ListKind, Member, RequestClass, Settings, Shortage
 from roadlb.policy.logic import Balancer
 from roadlb.wheel import Wheel
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize(
     ("late_us", "ago_ms", "came_before_us"),
     [
-        (LATE_ENOUGH_US // 4, 300, 0),  # so little is not worth asking
+        (MIN_KERNEL_QUERY_DELAY_US // 4, 300, 0),  # so little is not worth asking
         (300_000, 120, 121_000),  # the kernel tells when they came
         (300_000, 900, 310_000),  # and cannot be before the last beat
         (300_000, None, 310_000),  # where it does not, they came at the beginning of the pause
@@ -85,7 +85,7 @@
         engine = Engine(heard, Counters(), lambda: now, Wheel(lambda: now))
         load = OwnLoad(lambda: now, engine, Limits(1.0), 500_000, lambda: 1, lambda on: None, lambda: 0)
         now += 10_000 + late_us  # the beat is due after 10 ms
-        assert now - load.came_us(Transport(ago_ms)) == came_before_us  # type: ignore[arg-type]
+        assert now - load.earliest_arrival_us(Transport(ago_ms)) == came_before_us  # type: ignore[arg-type]
         load.stop()
 
     asyncio.run(main())
@@ -100,7 +100,7 @@
             lambda: now, engine, Limits(0.5, sockets=100), 80_000, lambda: 90, tight.append, lambda: cpu
         )
         for late in (0, 0, *[60_000] * 30, *[0] * 300):  # a beat every 10 ms, thirty of them late
-            now += BEAT_US + late
+            now += BEAT_INTERVAL_US + late
             cpu += 1_000
             load._beat()
         shares = [e.share for e in heard.events if isinstance(e, Shortage)]
--- a/tests/overload/test_claims.py
+++ b/tests/overload/test_claims.py
@@ -181,7 +181,7 @@
     # Five of them take all CPU that is left; to shed by CPU alone cost a third of the worth, and freed none.
     class Uncounted(Controller):
         def handle(self, now: int, event: Reading) -> list[Action]:
-            return super().handle(now, replace(event, asked=-1))
+            return super().handle(now, replace(event, arrived_count=-1))
 
     counted, uncounted = Controller(AIM_US, CHEAP), Uncounted(AIM_US, CHEAP)
     for decider, least, most in ((counted, 0.99, 1.0), (uncounted, 0.0, 0.3)):
--- a/tests/overload/test_parts.py
+++ b/tests/overload/test_parts.py
@@ -10,50 +10,50 @@
 import pytest
 
 from roadlb.overload import readings
-from roadlb.overload.controller import KEPT_BUSY, KEPT_LEAST, Action, Controller, Shed, Tighten
+from roadlb.overload.controller import MIN_KEPT_BY_CPU, MIN_KEPT, Action, Controller, Shed, Tighten
 from roadlb.overload.cost import RequestCost
 from roadlb.overload.meter import Limits, Meter, Reading
-from roadlb.overload.pulse import BEAT_US, Pulse
+from roadlb.overload.loop_monitor import BEAT_INTERVAL_US, LoopMonitor
 
 T = 1_000_000
 
 
 def test_a_sound_loop_is_not_late_and_reads_what_just_came() -> None:
-    pulse, now = Pulse(T), T
+    pulse, now = LoopMonitor(T), T
     for _ in range(10):
-        now = pulse.beat(now + BEAT_US + 300)
-        assert pulse.late_us(now - 1) == 0 and pulse.came_us(now - 1) == now - 1
-        now -= BEAT_US
-    assert pulse.take(now).largest_us == 300
+        now = pulse.beat(now + BEAT_INTERVAL_US + 300)
+        assert pulse.late_us(now - 1) == 0 and pulse.earliest_arrival_us(now - 1) == now - 1
+        now -= BEAT_INTERVAL_US
+    assert pulse.take_delay(now).max_us == 300
 
 
 def test_a_stop_shows_in_the_first_callback_and_in_the_turn_after_its_beat() -> None:
     # With libuv's order a stop may end between two turns: the beat then comes before what was sent meanwhile.
-    pulse = Pulse(T)
+    pulse = LoopMonitor(T)
     now = T + 300_000
-    assert pulse.late_us(now) == 290_000 and pulse.came_us(now) == T
+    assert pulse.late_us(now) == 290_000 and pulse.earliest_arrival_us(now) == T
     pulse.beat(now)
-    assert pulse.late_us(now + 1) == 0 and pulse.came_us(now + 1) == T
-    now = pulse.beat(now + BEAT_US)
-    assert pulse.came_us(now) == now
+    assert pulse.late_us(now + 1) == 0 and pulse.earliest_arrival_us(now + 1) == T
+    now = pulse.beat(now + BEAT_INTERVAL_US)
+    assert pulse.earliest_arrival_us(now) == now
 
 
 def test_delays_are_kept_per_interval_and_one_that_lasts_is_not_counted_twice() -> None:
-    pulse = Pulse(T)
-    first = pulse.take(T + BEAT_US + 40_000)  # late by 40 ms, and going on
-    assert (first.largest_us, first.mean_us) == (40_000, pytest.approx(40_000**2 / 2 / 50_000))
-    pulse.beat(T + BEAT_US + 100_000)
-    second = pulse.take(T + BEAT_US + 100_000)
-    assert second.largest_us == 100_000
+    pulse = LoopMonitor(T)
+    first = pulse.take_delay(T + BEAT_INTERVAL_US + 40_000)  # late by 40 ms, and going on
+    assert (first.max_us, first.mean_us) == (40_000, pytest.approx(40_000**2 / 2 / 50_000))
+    pulse.beat(T + BEAT_INTERVAL_US + 100_000)
+    second = pulse.take_delay(T + BEAT_INTERVAL_US + 100_000)
+    assert second.max_us == 100_000
     assert second.mean_us == pytest.approx((100_000**2 - 40_000**2) / 2 / 60_000)
-    assert pulse.take(T + 2 * BEAT_US + 100_000).largest_us == 0
+    assert pulse.take_delay(T + 2 * BEAT_INTERVAL_US + 100_000).max_us == 0
 
 
 def test_a_reading_holds_shares_of_the_limits_since_the_last_one() -> None:
     used, counts = iter([5_000, 40_000, 40_000]), iter([(10, 1), (110, 41), (110, 41)])
     meter = Meter(
         T,
-        Pulse(T),
+        LoopMonitor(T),
         Limits(0.7, 64, 1_000),
         lambda: next(used),
         lambda: 16 << 20,
@@ -67,13 +67,13 @@
         0.25,
         0.25,
     )
-    assert (r.asked, r.refused, r.late_max_us) == (100, 40, 90_000)
+    assert (r.arrived_count, r.refused_count, r.late_max_us) == (100, 40, 90_000)
     assert meter.read(T + 100_000).cpu_share == 0
 
 
 def test_no_limit_has_no_share_and_a_negative_one_is_named() -> None:
     def meter(limits: Limits) -> Meter:
-        return Meter(T, Pulse(T), limits, lambda: 1, lambda: 1, lambda: 1, lambda: (0, 0))
+        return Meter(T, LoopMonitor(T), limits, lambda: 1, lambda: 1, lambda: 1, lambda: (0, 0))
 
     r = meter(Limits(0.0)).read(T + 1)
     assert (r.cpu_share, r.memory_share, r.descriptor_share) == (0, 0, 0)
@@ -107,14 +107,14 @@
             sent = time.monotonic_ns()
             client.sendall(b"x")
             time.sleep(0.05)
-            waited, most = readings.waited_us(connection), (time.monotonic_ns() - sent) // 1000
+            waited, most = readings.since_last_receive_us(connection), (time.monotonic_ns() - sent) // 1000
             assert 40_000 < waited <= most + 10_000
-    assert readings.waited_us(connection) == 0, "closed"
+    assert readings.since_last_receive_us(connection) == 0, "closed"
 
 
 def calm(cpu: float = 0.5, late: float = 0.0, interval: int = 100_000, **more: float) -> Reading:
     asked = int(cpu * interval * 0.01)
-    return Reading(interval, cpu, int(2 * late), late, asked=asked, **more)  # type: ignore[arg-type]
+    return Reading(interval, cpu, int(2 * late), late, arrived_count=asked, **more)  # type: ignore[arg-type]
 
 
 def feed(c: Controller, *events: Reading) -> list[Action]:
@@ -132,15 +132,15 @@
     feed(c, *[calm() for _ in range(20)])
     assert all(isinstance(a, Shed) for a in feed(c, *[calm(1.0) for _ in range(8)])) and 0.2 < c.share < 0.7
     feed(c, *[calm(1.0) for _ in range(50)])
-    assert c.share == 1 - KEPT_BUSY
+    assert c.share == 1 - MIN_KEPT_BY_CPU
 
 
 def test_lateness_sheds_more_than_cpu_may_and_the_rest_comes_back_while_the_cpu_is_full() -> None:
     c = Controller(500_000, 0.2)
     feed(c, *[calm(1.0, 400_000) for _ in range(30)])
-    assert c.share == 1 - KEPT_LEAST
+    assert c.share == 1 - MIN_KEPT
     feed(c, *[calm(1.0) for _ in range(30)])
-    assert c.share == 1 - KEPT_BUSY, "it starved orders for as long as clients kept asking"
+    assert c.share == 1 - MIN_KEPT_BY_CPU, "it starved orders for as long as clients kept asking"
 
 
 def test_one_late_reading_is_a_stop_by_the_host_and_two_are_not() -> None:
@@ -157,15 +157,15 @@
     assert c.share == 0
 
 
-@pytest.mark.parametrize("start", [calm(0.3), Reading(100_000, 0.9, asked=60)], ids=["calm", "busy"])
+@pytest.mark.parametrize("start", [calm(0.3), Reading(100_000, 0.9, arrived_count=60)], ids=["calm", "busy"])
 def test_minutes_of_rubbish_do_not_make_requests_seem_dear(start: Reading) -> None:
     cost = RequestCost(200_000, 0.92, 0.2)
     for r in [start] * 15 + [calm(0.3)] * 60:
-        cost.share(r)
-    rubbish = Reading(100_000, 1.0, asked=calm(0.3).asked)
-    shares = [cost.share(rubbish) for _ in range(2_000)]
+        cost.requests_cpu_share(r)
+    rubbish = Reading(100_000, 1.0, arrived_count=calm(0.3).arrived_count)
+    shares = [cost.requests_cpu_share(rubbish) for _ in range(2_000)]
     assert max(shares[20:]) < 0.5
-    assert cost.share(Reading(100_000, 1.0, asked=calm(1.0).asked)) > shares[-1]
+    assert cost.requests_cpu_share(Reading(100_000, 1.0, arrived_count=calm(1.0).arrived_count)) > shares[-1]
 
 
 def test_short_of_memory_or_descriptors_is_told_once_and_ends_well_below() -> None:
--- a/tests/overload/test_policy_events.py
+++ b/tests/overload/test_policy_events.py
@@ -112,7 +112,7 @@
     node.mixed(1_000)
     node.do(Shortage(own))
     for _ in range(in_hand):
-        node.b.hand.began(node.now, 100_000)
+        node.b.hand.request_started(node.now, 100_000)
     count = 0
     for _ in range(2_000):
         count += not node.ask(READ if node.luck.random() < 0.7 else ORDER, node.luck.randrange(1, 1_000))
@@ -166,13 +166,20 @@
     node.mixed(300)
     for cls in (READ, ORDER):
         for key in range(1, 100):
-            ranks, tenants, requests = node.b.refusals.total, sum(node.b.quotas.counts), dict(node.b.requests)
+            ranks, tenants, requests = (
+                node.b.refusals.request_count,
+                sum(node.b.quotas.counts),
+                dict(node.b.requests),
+            )
             refused = bool(node.offer(cls, key))
-            assert (node.b.refusals.total, sum(node.b.quotas.counts)) == (ranks + refused, tenants + refused)
+            assert (node.b.refusals.request_count, sum(node.b.quotas.counts)) == (
+                ranks + refused,
+                tenants + refused,
+            )
             assert node.b.requests == requests
             if not refused:
                 node.ask(cls, key)
-                assert node.b.refusals.total == ranks + 1
+                assert node.b.refusals.request_count == ranks + 1
 
 
 def test_offers_change_nothing_where_nothing_is_short() -> None:
--- a/tests/policy/test_changed.py
+++ b/tests/policy/test_changed.py
@@ -196,7 +196,11 @@
     narrowed(node)
     for request, server in enumerate(servers, 1):
         node.end(server, request=request)
-    assert node.b.hand.out == 0 and not node.b.requests and all(s.out == 0 for s in node.b.list.ready)
+    assert (
+        node.b.hand.in_flight_count == 0
+        and not node.b.requests
+        and all(s.out == 0 for s in node.b.list.ready)
+    )
 
 
 CLASSES = [RequestClass("read", worth=1.0), RequestClass("map", worth=8.0)]
@@ -241,9 +245,9 @@
 def test_a_change_that_concerns_no_rank_forgets_nothing_of_what_was_asked() -> None:
     node = Node(classes=CLASSES)
     shed(node, 200)
-    asked = list(node.b.refusals.asked)
+    asked = list(node.b.refusals.requests_by_rank)
     change(node, max_attempts=7, second_copies=False, cross_zone_cost=1.0)
-    assert node.b.refusals.asked == asked and sum(asked) > 0
+    assert node.b.refusals.requests_by_rank == asked and sum(asked) > 0
 
 
 def test_a_price_for_crossing_is_for_keys_that_come_anew_and_leaves_caches_as_they_are() -> None:
--- a/tests/policy/test_crossings.py
+++ b/tests/policy/test_crossings.py
@@ -70,7 +70,7 @@
         *node.wait(5 * SECOND),
     ]
     assert not [a for a in late if isinstance(a, Send)]
-    assert not node.b.requests and node.b.hand.out == 0 and node.b.fleet.out == 0
+    assert not node.b.requests and node.b.hand.in_flight_count == 0 and node.b.fleet.out == 0
 
 
 def test_a_body_that_is_whole_after_its_request_is_over_counts_for_nothing() -> None:
@@ -80,7 +80,7 @@
     node.do(ClientGone(1))
     assert node.do(BodyWhole(1, SECOND)) == []
     node.do(Outcome(1, 0, send.server, Status.CANCELLED, 1000, True))
-    assert not node.b.requests and node.b.hand.out == 0 and node.b.fleet.out == 0
+    assert not node.b.requests and node.b.hand.in_flight_count == 0 and node.b.fleet.out == 0
 
 
 @pytest.mark.parametrize("effect", list(Effect))
--- a/tests/shared_state/test_bounds.py
+++ b/tests/shared_state/test_bounds.py
@@ -34,7 +34,7 @@
             if attempt:
                 self.repeats.append(self.now)
             hall = int(a.server[5:]) % HALLS
-            if self.parties[i].balancer.sites.away(hall):
+            if self.parties[i].balancer.sites.limited(hall):
                 self.away.append(self.now)
             if hall in self.dead:
                 self.classes[a.request] = cls, attempt + 1
@@ -96,7 +96,7 @@
         fleet.play(5, 400)
         fleet.dead = set()
         fleet.play(18, 400)
-        assert not any(party.balancer.sites.away(1) for party in fleet.parties), "not taken back"
+        assert not any(party.balancer.sites.limited(1) for party in fleet.parties), "not taken back"
     free, bound, deaf = (above(fleet.away, RATE) for fleet in fleets)
     assert free > 8 and bound <= 0 and deaf <= 0
 
--- a/tests/sites/test_lost_site.py
+++ b/tests/sites/test_lost_site.py
@@ -25,7 +25,7 @@
     TimerFired,
 )
 from roadlb.sites.events import State
-from roadlb.sites.life import LOSS
+from roadlb.sites.state_machine import LOSS_FAILURES
 
 SECOND = 1_000_000
 EACH = 40  # servers in each of three halls
@@ -141,7 +141,7 @@
     world.play(4)
     so_far = world.refused  # what waited there too long
     world.play(6)
-    assert 2 * LOSS <= len(world.sent_since(began)) <= 2 * (LOSS + more)
+    assert 2 * LOSS_FAILURES <= len(world.sent_since(began)) <= 2 * (LOSS_FAILURES + more)
     assert world.refused - so_far <= 3
     assert world.balancer.pressure < 0.3
 
--- a/tests/sites/test_plan.py
+++ b/tests/sites/test_plan.py
@@ -14,11 +14,20 @@
 
 from roadlb.cli.commands import roadlb
 from roadlb.config import ConfigError, Pairs, read_plan
-from roadlb.sites.forecast import HOMES, USABLE, Demand, SiteSize, curve, hit_share, loss, losses
+from roadlb.sites.forecast import (
+    SERVERS_PER_KEY,
+    USABLE_SHARE,
+    Demand,
+    SiteCapacity,
+    worth_curve,
+    hit_share,
+    forecast_loss,
+    forecast_losses,
+)
 from roadlb.sites.refusal import PlanLine
 
 LOST = Path(__file__).parents[2] / "examples" / "incidents" / "hall-lost.toml"
-SITES = [SiteSize(name, 4, 10.0, 0.25, 20.0) for name in "abc"]
+SITES = [SiteCapacity(name, 4, 10.0, 0.25, 20.0) for name in "abc"]
 READS = Demand("read", "one", False, 1_000, 0.01, 2.0, 0)  # 10 cores of work
 ORDERS = Demand("order", "one", False, 100, 0.1, 10.0, 1)  # and 10
 
@@ -56,48 +65,60 @@
 
 
 def test_a_loss_is_arithmetic() -> None:
-    one = loss(SITES, [READS, ORDERS], ["a"], told_s=2.0)
+    one = forecast_loss(SITES, [READS, ORDERS], ["a"], discovery_delay_s=2.0)
     # 20 cores of work on 20 * 0.92: (18.4 / 20) ** 10 = 0.434, and 18.4 / 1.434 ** 0.1 = 17.75 are carried.
     assert one.load == pytest.approx({"b": 20 / 18.4, "c": 20 / 18.4})
     assert one.kept == pytest.approx({ORDERS: 1.0, READS: 0.775}, abs=1e-3)
     assert one.worth == pytest.approx(2_550 / 3_000, abs=1e-3)
     assert not one.borne and one.back_95_s is not None and 2.0 <= one.back_95_s <= one.back_98_s < 9
-    two = loss(SITES, [READS, ORDERS], ["a", "b"], told_s=2.0)
+    two = forecast_loss(SITES, [READS, ORDERS], ["a", "b"], discovery_delay_s=2.0)
     assert two.kept == pytest.approx({ORDERS: 0.92, READS: 0.0}, abs=1e-3)
-    assert loss(SITES, [READS, ORDERS], [], 2.0).borne
-    assert [len(found.lost) for found in losses(SITES, [READS, ORDERS], 2.0)] == [0, 1, 1, 1, 2, 2, 2]
-    assert [found.lost for found in losses(SITES[:1], [READS], 2.0)] == [()]
+    assert forecast_loss(SITES, [READS, ORDERS], [], 2.0).borne
+    assert [len(found.lost) for found in forecast_losses(SITES, [READS, ORDERS], 2.0)] == [
+        0,
+        1,
+        1,
+        1,
+        2,
+        2,
+        2,
+    ]
+    assert [found.lost for found in forecast_losses(SITES[:1], [READS], 2.0)] == [()]
     with pytest.raises(ValueError, match="there is no site x"):
-        loss(SITES, [READS], ["x"], 2.0)
+        forecast_loss(SITES, [READS], ["x"], 2.0)
 
 
 def test_worth_never_falls_as_demand_rises_where_what_is_worth_most_for_its_work_goes_last() -> None:
     # Reads are worth twice as much for their work: a plan that keeps orders instead pays for it.
     times = [0.25 * n for n in range(1, 17)]
     reads_last = [Demand("read", "one", False, 1_000, 0.01, 2.0, 2), ORDERS]
-    served = curve(SITES, reads_last, ["a"], times)
+    served = worth_curve(SITES, reads_last, ["a"], times)
     assert all(b >= a - 1e-6 for a, b in zip(served, served[1:], strict=False))
-    assert served[-1] == pytest.approx(20 * USABLE / 0.01 * 2.0)
-    assert curve(SITES, [READS, ORDERS], ["a"], times)[-1] == pytest.approx(20 * USABLE / 0.1 * 10.0)
+    assert served[-1] == pytest.approx(20 * USABLE_SHARE / 0.01 * 2.0)
+    assert worth_curve(SITES, [READS, ORDERS], ["a"], times)[-1] == pytest.approx(
+        20 * USABLE_SHARE / 0.1 * 10.0
+    )
 
 
 def test_caches_hold_what_is_asked_for_often_as_long_as_there_is_room() -> None:
     even = [0.01] * 100
-    assert hit_share(even, 1_000, 100 * HOMES, 1e9) == pytest.approx(1.0, abs=1e-3)
+    assert hit_share(even, 1_000, 100 * SERVERS_PER_KEY, 1e9) == pytest.approx(1.0, abs=1e-3)
     # Half the room holds half of the keys; what is asked for 0.01 times a second is mostly forgotten in 4 s.
-    assert hit_share(even, 1_000, 50 * HOMES, 1e9) == pytest.approx(0.5, abs=1e-3)
-    assert hit_share(even, HOMES, 100 * HOMES, 4.0) == pytest.approx(1 - exp(-0.04), abs=1e-3)
+    assert hit_share(even, 1_000, 50 * SERVERS_PER_KEY, 1e9) == pytest.approx(0.5, abs=1e-3)
+    assert hit_share(even, SERVERS_PER_KEY, 100 * SERVERS_PER_KEY, 4.0) == pytest.approx(
+        1 - exp(-0.04), abs=1e-3
+    )
     skewed = [0.9] + [0.1 / 99] * 99
-    assert hit_share(skewed, 1_000, 10 * HOMES, 1e9) > 0.9 and hit_share([], 10, 5, 5) == 0
+    assert hit_share(skewed, 1_000, 10 * SERVERS_PER_KEY, 1e9) > 0.9 and hit_share([], 10, 5, 5) == 0
 
 
 def test_what_is_refused_is_summed_up_in_worth() -> None:
-    one = loss(SITES, [READS, ORDERS], ["a"], told_s=2.0)
+    one = forecast_loss(SITES, [READS, ORDERS], ["a"], discovery_delay_s=2.0)
     assert one.refused_worth(lambda demand: demand.name) == {
         "order": (1_000.0, 0.0),
         "read": (2_000.0, pytest.approx(450.0, abs=1)),
     }
-    assert one.refused_worth(lambda demand: demand.customer)["one"][1] == pytest.approx(450.0, abs=1)
+    assert one.refused_worth(lambda demand: demand.tenant)["one"][1] == pytest.approx(450.0, abs=1)
 
 
 def test_the_command_draws_and_tells_whether_a_loss_is_borne(tmp_path: Path) -> None:
--- a/tests/sites/test_processes.py
+++ b/tests/sites/test_processes.py
@@ -16,7 +16,7 @@
 
 from roadlb.lab.run.rig import GENEROUS_S, Rig, SiteChange
 from roadlb.lab.wire import ClientGot, ClientSent
-from roadlb.sites.life import STEADY_US, TRIAL_US
+from roadlb.sites.state_machine import STABLE_US, TRIAL_INTERVAL_US
 
 ON_THE_WAY_US = 100_000  # what had left the cut's other side before it fell
 UNDER_WAY_US = 500_000  # what was sent before a fault ended has ended as well
@@ -60,7 +60,7 @@
                     (gone, again)
                     for back, gone, again in zip(told, told[1:], told[2:], strict=False)
                     if back.before == "lost"
-                    and gone.at - back.at < STEADY_US
+                    and gone.at - back.at < STABLE_US
                     and any(since < gone.at < end - UNDER_WAY_US for since, end in shut)
                 ]
             return found
@@ -81,7 +81,7 @@
                 whose = [name for name in names if rig.say(name, "hall-c", "lost")]
                 await rig.until("taken back by those who lost it", partial(taken_back, whose))
         for gone, again in relapses():
-            assert again.at - gone.at >= 2 * TRIAL_US, "a trial at the usual time after a relapse"
+            assert again.at - gone.at >= 2 * TRIAL_INTERVAL_US, "a trial at the usual time after a relapse"
         await rig.until("taken back when it holds", lambda: rig.all_say("hall-c", "whole"))
 
     six.play(test)
--- a/tests/sites/test_processes_hard.py
+++ b/tests/sites/test_processes_hard.py
@@ -15,7 +15,7 @@
 from roadlb.lab.run.rig import GENEROUS_S, Rig
 from roadlb.lab.run.settings import plan_of
 from roadlb.lab.wire import ClientGot, ClientLost, NodeFell, NodeGave, NodeGot, NodeStarted
-from roadlb.sites.life import TRIAL_US
+from roadlb.sites.state_machine import TRIAL_INTERVAL_US
 
 ON_THE_WAY_US = 100_000  # what had left before a word was heard
 
@@ -74,7 +74,9 @@
                 for event in rig.got(known + ON_THE_WAY_US, "hall-a", "POST")
                 if event.balancer == name
             ]
-            assert all(b - a > TRIAL_US - ON_THE_WAY_US for a, b in pairwise(came)), "one at a time, in turn"
+            assert all(b - a > TRIAL_INTERVAL_US - ON_THE_WAY_US for a, b in pairwise(came)), (
+                "one at a time, in turn"
+            )
         heal()
 
     six.play(test)
--- a/tests/sites/test_processes_planted.py
+++ b/tests/sites/test_processes_planted.py
@@ -11,12 +11,12 @@
 from roadlb.lab import mutants
 
 SEEN = """
-from roadlb.sites import life, refusal
+from roadlb.sites import refusal, state_machine
 from roadlb.policy.state import Server
-one = refusal.Refusals()
-for rank in (1, 2): one.ask(rank)
-print(life.LOSS, life.SHORT_US, Server(b"x", out=3).load(0, 1))
-print(one.refused(1, 0.5, 0.5), one.refused(2, 0.5, 0.5))
+one = refusal.RefusalOrder()
+for rank in (1, 2): one.count_request(rank)
+print(state_machine.LOSS_FAILURES, state_machine.SHORT_OUTAGE_US, Server(b"x", out=3).load(0, 1))
+print(one.is_refused(1, 0.5, 0.5), one.is_refused(2, 0.5, 0.5))
 """
 
 
--- a/tests/sites/test_refusal.py
+++ b/tests/sites/test_refusal.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from roadlb.sites.refusal import RANKS, PlanLine, Quotas, Refusals
-from roadlb.sites.work_in_hand import DEEP_MOST, MOST, Steady, WorkInHand
+from roadlb.sites.refusal import RANKS, PlanLine, QuotaUsage, RefusalOrder
+from roadlb.sites.in_flight_load import MAX_SEVERE_SHARE, MAX_SHED_SHARE, SmoothedShare, InFlightLoad
 
 READ, ORDER = 0, 1
 PLAN = (
@@ -27,45 +27,49 @@
 
 @pytest.mark.parametrize("share", [0.1, 0.3, 0.5, 0.7, 0.9])
 def test_a_plan_refuses_its_lines_in_turn(share: float) -> None:
-    refusals, luck = Refusals(PLAN), random.Random(1)
+    refusals, luck = RefusalOrder(PLAN), random.Random(1)
     gone = [0] * len(KINDS)
     for n in range(10_000):
         kind = n % len(KINDS)
         cls, over, repeat, warm = KINDS[kind]
         rank = refusals.rank(1.0, cls, 0, over, repeat, warm)
-        refusals.ask(rank)
+        refusals.count_request(rank)
         if n >= 1_000:
-            gone[kind] += refusals.refused(rank, luck.random(), share)
+            gone[kind] += refusals.is_refused(rank, luck.random(), share)
     shares = [count / 1_800 for count in gone]
     assert shares == pytest.approx([min(1, max(0, share * 5 - line)) for line in range(5)], abs=0.05)
 
 
 def test_without_a_plan_worth_decides_and_a_plan_is_bounded() -> None:
-    refusals = Refusals()
+    refusals = RefusalOrder()
     ranks = [refusals.rank(worth, READ, 0, False, False, False) for worth in (0, 0.2, 2, 4, 10, 1e9)]
     assert ranks == sorted(ranks) and len(set(ranks)) == len(ranks)
     repeats = [refusals.rank(worth, READ, 0, False, True, False) for worth in (2, 10)]
     assert repeats[0] < ranks[2] < repeats[1] < ranks[4], "repeats first, but within what is worth alike"
     with pytest.raises(ValueError, match="refusal.plan"):
-        Refusals([PlanLine()] * RANKS)
+        RefusalOrder([PlanLine()] * RANKS)
 
 
 def test_a_customer_is_over_its_share_by_the_excess_alone() -> None:
-    quotas, luck = Quotas([100.0, 1e9]), random.Random(1)
+    quotas, luck = QuotaUsage([100.0, 1e9]), random.Random(1)
     for _ in range(20):
         for _ in range(100):
-            quotas.ask(0)
-            quotas.ask(7)  # a customer that nobody knows
-        quotas.fade()
-    over = sum(quotas.over(0, 2, luck.random()) for _ in range(2_000)) / 2_000
-    assert over == pytest.approx(0.5, abs=0.05) and not quotas.over(1, 2, 1.0) and not quotas.over(7, 2, 1.0)
+            quotas.count_request(0)
+            quotas.count_request(7)  # a customer that nobody knows
+        quotas.decay()
+    over = sum(quotas.exceeds_quota(0, 2, luck.random()) for _ in range(2_000)) / 2_000
+    assert (
+        over == pytest.approx(0.5, abs=0.05)
+        and not quotas.exceeds_quota(1, 2, 1.0)
+        and not quotas.exceeds_quota(7, 2, 1.0)
+    )
 
 
 class Servers:
     """One queue that serves so many a second, each after at least `takes_us`, before one balancer."""
 
     def __init__(self, per_s: float, takes_us: int = 30_000, aim_us: int = 500_000) -> None:
-        self.hand, self.aim, self.takes = WorkInHand(), aim_us, takes_us
+        self.hand, self.aim, self.takes = InFlightLoad(), aim_us, takes_us
         self.per_s, self.free_at, self.now = per_s, 0, 1_000_000
         self.out: list[int] = []
         self.asked = 0
@@ -77,12 +81,12 @@
         while self.now < end:
             self.now += int(luck.expovariate(asked_per_s / 1e6)) + 1
             while self.out and self.out[0] <= self.now:
-                self.hand.answered(at := self.out.pop(0))
-                self.hand.ended(at, self.aim)
+                self.hand.answer_received(at := self.out.pop(0))
+                self.hand.request_ended(at, self.aim)
             self.asked += 1
             if luck.random() < self.hand.shortage(self.now):
                 continue
-            self.hand.began(self.now, self.aim)
+            self.hand.request_started(self.now, self.aim)
             if answers:
                 self.free_at = max(self.free_at + int(1e6 / self.per_s), self.now + self.takes)
                 self.out.append(self.free_at)
@@ -130,7 +134,7 @@
     servers = Servers(200)
     servers.play(120, 10)
     servers.play(400, 5, answers=False)
-    assert MOST <= servers.hand.shortage(servers.now) <= DEEP_MOST
+    assert MAX_SHED_SHARE <= servers.hand.shortage(servers.now) <= MAX_SEVERE_SHARE
 
 
 def test_where_one_in_forty_can_be_served_answers_are_in_time_still() -> None:
@@ -143,14 +147,19 @@
 
 
 def test_the_mean_decides_in_deep_shortage_alone_and_not_on_little_evidence() -> None:
-    steady, luck = Steady(), random.Random(1)
+    steady, luck = SmoothedShare(), random.Random(1)
     for _ in range(3_000):
         way = luck.choice((0.2, 0.6, 0.95))
         assert steady.share(way, way, 10_000, 10_000) == way, "0.58 in the mean: the quick share, as it was"
-    seldom = Steady()
+    seldom = SmoothedShare()
     for _ in range(5):
-        assert seldom.share(1.5, MOST, 60_000_000, 10_000) == MOST, "five in five minutes prove nothing"
+        assert seldom.share(1.5, MAX_SHED_SHARE, 60_000_000, 10_000) == MAX_SHED_SHARE, (
+            "five in five minutes prove nothing"
+        )
     for _ in range(2_000):
-        steady.share(1.1, MOST, 10_000, 10_000)
-    assert steady.share(1.1, MOST, 10_000, 10_000) > 0.98 and steady.share(0.5, 0.5, 10_000, 10_000) > 0.85
+        steady.share(1.1, MAX_SHED_SHARE, 10_000, 10_000)
+    assert (
+        steady.share(1.1, MAX_SHED_SHARE, 10_000, 10_000) > 0.98
+        and steady.share(0.5, 0.5, 10_000, 10_000) > 0.85
+    )
     assert steady.share(0.5, 0.5, 10_000, 250_000) == 0.5, "four answers a second"
