--- a/roadlb/overload/meter.py
+++ b/roadlb/overload/meter.py
@@ -51,37 +51,37 @@
     def __init__(
         self,
         now: int,
-        pulse: LoopMonitor,
+        loop_monitor: LoopMonitor,
         limits: Limits,
         cpu_used_us: Callable[[], int],
         memory_bytes: Callable[[], int],
         descriptors: Callable[[], int],
-        counts: Callable[[], tuple[int, int]],
+        request_counts: Callable[[], tuple[int, int]],
     ) -> None:
         for name in ("cores", "memory_mb", "sockets"):
             if getattr(limits, name) < 0:
                 raise ValueError(f"{name}: {getattr(limits, name)!r} is negative; 0 stands for no limit")
-        self._pulse, self._limits = pulse, limits
+        self._loop_monitor, self._limits = loop_monitor, limits
         self._cpu_used_us, self._memory_bytes, self._descriptors = cpu_used_us, memory_bytes, descriptors
-        self._counts = counts
-        self._at, self._cpu = now, cpu_used_us()
-        self._asked, self._refused = counts()
+        self._request_counts = request_counts
+        self._read_at, self._read_cpu_us = now, cpu_used_us()
+        self._read_arrived, self._read_refused = request_counts()
 
     def read(self, now: int) -> Reading:
         """The reading since the last one.  Two in one microsecond make an interval of 1 us."""
-        cpu, (arrived_count, refused_count), limits = self._cpu_used_us(), self._counts(), self._limits
-        interval, delay = max(1, now - self._at), self._pulse.take_delay(now)
+        cpu, (arrived, refused), limits = self._cpu_used_us(), self._request_counts(), self._limits
+        interval, delay = max(1, now - self._read_at), self._loop_monitor.take_delay(now)
         reading = Reading(
             interval,
-            _share(cpu - self._cpu, limits.cores * interval),
+            _share(cpu - self._read_cpu_us, limits.cores * interval),
             delay.max_us,
             delay.mean_us,
             _share(self._memory_bytes(), limits.memory_mb * 2**20),
             _share(self._descriptors(), limits.sockets),
-            arrived_count - self._asked,
-            refused_count - self._refused,
+            arrived - self._read_arrived,
+            refused - self._read_refused,
         )
-        self._at, self._cpu, self._asked, self._refused = now, cpu, arrived_count, refused_count
+        self._read_at, self._read_cpu_us, self._read_arrived, self._read_refused = now, cpu, arrived, refused
         return reading
 
 
--- a/roadlb/overload/readings.py
+++ b/roadlb/overload/readings.py
@@ -10,8 +10,8 @@
 import time
 from typing import Protocol
 
-_PAGE = os.sysconf("SC_PAGE_SIZE")
-_MAXRSS_UNIT = 1 if sys.platform == "darwin" else 1024
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+_MAXRSS_UNIT_BYTES = 1 if sys.platform == "darwin" else 1024
 _TCP_INFO = getattr(socket, "TCP_INFO", -1)
 _LAST_DATA_RECV = struct.Struct("=52xI")  # struct tcp_info of linux/tcp.h, up to tcpi_last_data_recv
 
@@ -31,9 +31,9 @@
     """Resident memory in bytes; where /proc cannot be read, the most that it has been (getrusage)."""
     try:
         with open("/proc/self/statm", "rb") as statm:
-            return int(statm.read().split()[1]) * _PAGE
+            return int(statm.read().split()[1]) * _PAGE_BYTES
     except (OSError, ValueError, IndexError):
-        return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * _MAXRSS_UNIT
+        return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * _MAXRSS_UNIT_BYTES
 
 
 def since_last_receive_us(connection: Socket) -> int:
--- a/roadlb/own_load.py
+++ b/roadlb/own_load.py
@@ -34,62 +34,64 @@
         limits: Limits,
         aim_us: int,
         descriptors: Callable[[], int],
-        tighten: Callable[[bool], None],
+        on_tighten: Callable[[bool], None],
         cpu_us: Callable[[], int] = cpu_used_us,
         memory: Callable[[], int] = memory_bytes,
     ) -> None:
-        self._clock, self._engine, self._tighten = clock, engine, tighten
+        self._clock, self._engine, self._on_tighten = clock, engine, on_tighten
         self._loop, now = asyncio.get_running_loop(), clock()
-        self._pulse = LoopMonitor(now)
-        self._meter = Meter(now, self._pulse, limits, cpu_us, memory, descriptors, engine.asked_and_refused)
+        self._loop_monitor = LoopMonitor(now)
+        self._meter = Meter(
+            now, self._loop_monitor, limits, cpu_us, memory, descriptors, engine.asked_and_refused
+        )
         self._controller = Controller(aim_us, REFUSAL_COST)
         self._reading = Reading(0, 0.0)
-        self._read_at, self._next = now + READING_INTERVAL_US, self._loop.call_soon(self._beat)
+        self._next_reading_at, self._beat_timer = now + READING_INTERVAL_US, self._loop.call_soon(self._beat)
 
     def earliest_arrival_us(self, transport: asyncio.Transport) -> int:
         """The earliest moment at which bytes read now from this transport may have come, on the clock."""
         now = self._clock()
-        came = self._pulse.earliest_arrival_us(now)
-        if now - came < MIN_KERNEL_QUERY_DELAY_US:
+        arrival = self._loop_monitor.earliest_arrival_us(now)
+        if now - arrival < MIN_KERNEL_QUERY_DELAY_US:
             return now
         # The loop was late: ask the kernel, as most bytes came a moment ago.
-        connection = transport.get_extra_info("socket")
-        if connection is not None and (waited := since_last_receive_us(connection)):
-            return max(came, now - waited)
-        return came
+        tcp_socket = transport.get_extra_info("socket")
+        if tcp_socket is not None and (ago_us := since_last_receive_us(tcp_socket)):
+            return max(arrival, now - ago_us)
+        return arrival
 
     def late_us(self) -> int:
         """How long ago what is handled now may have come: 0 on a sound loop."""
         now = self._clock()
-        return now - self._pulse.earliest_arrival_us(now)
+        return now - self._loop_monitor.earliest_arrival_us(now)
 
     def _beat(self) -> None:
         now = self._clock()
-        due = self._pulse.beat(now)
-        self._next = self._loop.call_later((due - now) / 1e6, self._beat)
-        if now >= self._read_at:
-            self._read_at = now + READING_INTERVAL_US
-            self._read(now)
+        due = self._loop_monitor.beat(now)
+        self._beat_timer = self._loop.call_later((due - now) / 1e6, self._beat)
+        if now >= self._next_reading_at:
+            self._next_reading_at = now + READING_INTERVAL_US
+            self._take_reading(now)
 
-    def _read(self, now: int) -> None:
+    def _take_reading(self, now: int) -> None:
         self._reading = self._meter.read(now)
         for action in self._controller.handle(now, self._reading):
             if isinstance(action, Shed):
                 self._engine.shortage(action.share)
             elif isinstance(action, Tighten):
                 logger.info("tighten", extra=fields(on=action.on, **self.figures()))
-                self._tighten(action.on)
+                self._on_tighten(action.on)
 
     def figures(self) -> dict[str, float]:
         """The last reading and what is shed for it, under the names that operators see."""
-        r = self._reading
+        reading = self._reading
         return {
             "overload.shed_share": self._controller.share,
-            "overload.cpu_share": r.cpu_share,
-            "overload.late_us": r.late_max_us,
-            "overload.memory_share": r.memory_share,
-            "overload.descriptor_share": r.descriptor_share,
+            "overload.cpu_share": reading.cpu_share,
+            "overload.late_us": reading.late_max_us,
+            "overload.memory_share": reading.memory_share,
+            "overload.descriptor_share": reading.descriptor_share,
         }
 
     def stop(self) -> None:
-        self._next.cancel()
+        self._beat_timer.cancel()
--- a/roadlb/sites/forecast.py
+++ b/roadlb/sites/forecast.py
@@ -11,14 +11,14 @@
 from itertools import combinations
 from math import exp
 
-from .state_machine import RETURN_STEP_US, RETURN_STEPS
+from .state_machine import RETURN_STEPS, RETURN_STEP_US
 from .refusal import RefusalOrder
 
 USABLE_SHARE = 0.92  # of a node's capacity carries work in time; beyond it, queues grow
-KNEE = 10  # how sharply service bends at the limit: higher is sharper
-BORNE = 0.99  # of the worth; less than all, as chance refuses a little near the limit
-SECOND = 1_000_000
-LONGEST_S = 600.0  # a return that takes longer is told as none
+LIMIT_SHARPNESS = 10  # how sharply service bends at the limit: higher is sharper
+MIN_BORNE_WORTH = 0.99  # of the worth; less than all, as chance refuses a little near the limit
+US_PER_S = 1_000_000
+MAX_RETURN_S = 600.0  # a return that takes longer is told as none
 SERVERS_PER_KEY = 8.0  # nodes among which requests for one key spread: a balancer looks at its first 8
 
 
@@ -47,7 +47,7 @@
     rank: int
 
 
-def hit_share(parts: Sequence[float], per_s: float, room: float, remember_s: float) -> float:
+def hit_share(key_shares: Sequence[float], per_s: float, cache_capacity: float, retention_s: float) -> float:
     """Of requests with these keys, the share that meet a node which has the key cached.
 
     `parts`: of the requests, by key; `room`: keys that all nodes hold together; a node forgets a key that was
@@ -55,14 +55,20 @@
     keys, in which the caches fill; each key is asked for at `HOMES` nodes alike.
     """
 
-    def held(stay_s: float) -> float:
-        return SERVERS_PER_KEY * sum(1 - exp(-per_s * part / SERVERS_PER_KEY * stay_s) for part in parts)
+    def cached_keys(residence_s: float) -> float:
+        return SERVERS_PER_KEY * sum(
+            1 - exp(-per_s * key_share / SERVERS_PER_KEY * residence_s) for key_share in key_shares
+        )
 
-    low, stay_s = 0.0, remember_s
-    while held(stay_s) > room and stay_s - low > 1e-6:
-        middle = (low + stay_s) / 2
-        low, stay_s = (low, middle) if held(middle) > room else (middle, stay_s)
-    return sum(part * (1 - exp(-per_s * part / SERVERS_PER_KEY * stay_s)) for part in parts)
+    lower_s, residence_s = 0.0, retention_s
+    while cached_keys(residence_s) > cache_capacity and residence_s - lower_s > 1e-6:
+        middle_s = (lower_s + residence_s) / 2
+        lower_s, residence_s = (
+            (lower_s, middle_s) if cached_keys(middle_s) > cache_capacity else (middle_s, residence_s)
+        )
+    return sum(
+        key_share * (1 - exp(-per_s * key_share / SERVERS_PER_KEY * residence_s)) for key_share in key_shares
+    )
 
 
 def first_try_rank(
@@ -89,45 +95,45 @@
     @property
     def borne(self) -> bool:
         """Is next to nothing refused?"""
-        return self.worth >= BORNE
+        return self.worth >= MIN_BORNE_WORTH
 
     def refused_worth(self, by: Callable[[Demand], str]) -> dict[str, tuple[float, float]]:
         """(worth asked for, worth refused) a second, of each class, customer or other word of a demand."""
-        found: dict[str, tuple[float, float]] = {}
+        totals: dict[str, tuple[float, float]] = {}
         for demand, share in self.kept.items():
-            asked, refused = found.get(by(demand), (0.0, 0.0))
+            offered, refused = totals.get(by(demand), (0.0, 0.0))
             worth = demand.per_s * demand.worth
-            found[by(demand)] = asked + worth, refused + worth * (1 - share)
-        return found
+            totals[by(demand)] = offered + worth, refused + worth * (1 - share)
+        return totals
 
 
-def carries(capacity: float, work: float) -> float:
+def served_work(capacity: float, work: float) -> float:
     """What this capacity does of so much work.  Demand comes by chance, so that near the limit a part is
     refused in some seconds while others have room.  Far below it does all, far above `USABLE` of itself."""
     usable = capacity * USABLE_SHARE
     if not usable or not work:
         return 0.0
     load = work / usable
-    return float(min(usable, work) / (1 + min(load, 1 / load) ** KNEE) ** (1 / KNEE))
+    return float(min(usable, work) / (1 + min(load, 1 / load) ** LIMIT_SHARPNESS) ** (1 / LIMIT_SHARPNESS))
 
 
-def keep(capacity: float, demands: Sequence[Demand]) -> dict[Demand, float]:
+def served_shares(capacity: float, demands: Sequence[Demand]) -> dict[Demand, float]:
     """The share of each demand that this capacity carries: what is refused last is served first; within one
     rank all are served alike."""
-    left, kept = carries(capacity, sum(d.per_s * d.work_s for d in demands)), dict[Demand, float]()
+    remaining, kept = served_work(capacity, sum(d.per_s * d.work_s for d in demands)), dict[Demand, float]()
     for rank in sorted({d.rank for d in demands}, reverse=True):
-        equals = [d for d in demands if d.rank == rank]
-        work = sum(d.per_s * d.work_s for d in equals)
-        share = min(1.0, left / work) if work else 1.0
-        left = max(0.0, left - work)
-        kept |= dict.fromkeys(equals, share)
+        same_rank = [d for d in demands if d.rank == rank]
+        work = sum(d.per_s * d.work_s for d in same_rank)
+        share = min(1.0, remaining / work) if work else 1.0
+        remaining = max(0.0, remaining - work)
+        kept |= dict.fromkeys(same_rank, share)
     return kept
 
 
 def worth_share(kept: dict[Demand, float]) -> float:
     """The share of all worth asked for that is served."""
-    asked = sum(d.per_s * d.worth for d in kept)
-    return sum(d.per_s * d.worth * share for d, share in kept.items()) / asked if asked else 1.0
+    offered = sum(d.per_s * d.worth for d in kept)
+    return sum(d.per_s * d.worth * share for d, share in kept.items()) / offered if offered else 1.0
 
 
 def forecast_loss(
@@ -137,32 +143,39 @@
     unknown = set(lost) - {site.name for site in sites}
     if unknown:
         raise ValueError(f"there is no site {', '.join(sorted(unknown))}")
-    remain = [site for site in sites if site.name not in lost]
-    capacity = sum(site.capacity for site in remain)
+    remaining_sites = [site for site in sites if site.name not in lost]
+    capacity = sum(site.capacity for site in remaining_sites)
     work = sum(d.per_s * d.work_s for d in demands)
-    kept = keep(capacity, demands)
-    load = {site.name: work / (capacity * USABLE_SHARE) if capacity else float("inf") for site in remain}
-    usual = worth_share(keep(sum(site.capacity for site in sites), demands))
-    gone = [site for site in sites if site.name in lost]
-
-    def back(share: float) -> float | None:
-        for tenth in range(int(LONGEST_S * 10)):
-            at = tenth / 10
-            if worth_share(keep(capacity + returned(gone, at, discovery_delay_s), demands)) >= share * usual:
-                return at
+    kept = served_shares(capacity, demands)
+    load = {
+        site.name: work / (capacity * USABLE_SHARE) if capacity else float("inf") for site in remaining_sites
+    }
+    usual = worth_share(served_shares(sum(site.capacity for site in sites), demands))
+    lost_sites = [site for site in sites if site.name in lost]
+
+    def time_to_reach(share: float) -> float | None:
+        for tenth in range(int(MAX_RETURN_S * 10)):
+            at_s = tenth / 10
+            if (
+                worth_share(
+                    served_shares(capacity + returned_capacity(lost_sites, at_s, discovery_delay_s), demands)
+                )
+                >= share * usual
+            ):
+                return at_s
         return None
 
-    return LossForecast(tuple(lost), load, kept, worth_share(kept), back(0.95), back(0.98))
+    return LossForecast(tuple(lost), load, kept, worth_share(kept), time_to_reach(0.95), time_to_reach(0.98))
 
 
-def returned(gone: Sequence[SiteCapacity], at_s: float, discovery_delay_s: float) -> float:
+def returned_capacity(lost_sites: Sequence[SiteCapacity], at_s: float, discovery_delay_s: float) -> float:
     """The capacity that returning sites give, so long after their nodes started."""
     if at_s < discovery_delay_s:
         return 0.0
-    step = int((at_s - discovery_delay_s) * SECOND / RETURN_STEP_US)
+    step = int((at_s - discovery_delay_s) * US_PER_S / RETURN_STEP_US)
     allowed = RETURN_STEPS[step] if step < len(RETURN_STEPS) else 1.0
     total = 0.0
-    for site in gone:
+    for site in lost_sites:
         warm = min(1.0, at_s / site.cold_s) if site.cold_s else 1.0
         total += site.capacity * min(allowed, site.cold_share + (1 - site.cold_share) * warm)
     return total
@@ -173,23 +186,25 @@
 ) -> list[LossForecast]:
     """None, each site and each pair lost, as long as one remains."""
     names = [site.name for site in sites]
-    picks: list[tuple[str, ...]] = [()]
+    lost_sets: list[tuple[str, ...]] = [()]
     for count in (1, 2):
         if count < len(names):
-            picks += combinations(names, count)
-    return [forecast_loss(sites, demands, lost, discovery_delay_s) for lost in picks]
+            lost_sets += combinations(names, count)
+    return [forecast_loss(sites, demands, lost, discovery_delay_s) for lost in lost_sets]
 
 
 def worth_curve(
-    sites: Sequence[SiteCapacity], demands: Sequence[Demand], lost: Sequence[str], times: Sequence[float]
+    sites: Sequence[SiteCapacity], demands: Sequence[Demand], lost: Sequence[str], factors: Sequence[float]
 ) -> list[float]:
     """Worth served a second when so many times the demand is asked."""
     capacity = sum(site.capacity for site in sites if site.name not in lost)
-    found = []
-    for factor in times:
-        more = [
+    totals = []
+    for factor in factors:
+        scaled_demands = [
             Demand(d.name, d.tenant, d.over_share, d.per_s * factor, d.work_s, d.worth, d.rank)
             for d in demands
         ]
-        found.append(sum(d.per_s * d.worth * share for d, share in keep(capacity, more).items()))
-    return found
+        totals.append(
+            sum(d.per_s * d.worth * share for d, share in served_shares(capacity, scaled_demands).items())
+        )
+    return totals
--- a/roadlb/sites/in_flight_load.py
+++ b/roadlb/sites/in_flight_load.py
@@ -20,152 +20,178 @@
 
 from math import exp
 
-BEGIN, FULL = 0.18, 0.46  # of the way from the usual wait to the aim: where shedding begins, and where ...
+# of the way from the usual wait to the aim: where shedding begins, and where ...
+SHED_START, SHED_FULL = 0.18, 0.46
 MAX_SHED_SHARE = 0.95  # ... all but this would be shed
-DEEP_FROM, DEEP_FULL = 0.8, 0.92  # of the demand goes, in the mean: there the mean begins to decide
-MAX_SEVERE_SHARE, WAY_MOST = 0.99, 1.5
-BEND, TAIL = 0.9, 0.1  # the curve: beyond 0.9 of the way what is kept falls by e for each 0.1
-QUICK = 0.15  # of what the wait departs from its mean counts at once
-STEADY_US, PROVEN_US = 1_500_000, 2_000_000  # the mean is over this time, and proves itself in that
-EACH_US = 200_000  # one look is evidence for no longer: a balancer asked seldom needs more of them
-SURE_US, UNSURE_US = 100_000, 200_000  # answers so far apart make the mean sure, and worth nothing
-HAND_US, HAND_GAPS = 50_000, 8  # the mean of what is in hand: over this time, or that of so many answers
-PACE_US, PACE_GAPS = 1_000_000, 24  # answers a second: the same
-KNOWN = 0.25  # of that time must have been spent with work in hand, or nothing is known yet
-GAP_MOST_US = 500_000
-USUAL_MOST, FIRST_MOST = 0.6, 0.4  # of the aim, and no more, is taken for usual; in the first ...
-FIRST_US = 3_000_000  # ... so long, in which all that is known is what is seen
-RISE_US, RISE_SHED_US = 5_000_000, 30_000_000  # the usual follows a longer wait so slowly; while shedding
+SEVERE_START, SEVERE_FULL = 0.8, 0.92  # of the demand goes, in the mean: there the mean begins to decide
+MAX_SEVERE_SHARE, MAX_PROGRESS = 0.99, 1.5
+CURVE_START, CURVE_SCALE = 0.9, 0.1  # the curve: beyond 0.9 of the way what is kept falls by e for each 0.1
+DEVIATION_WEIGHT = 0.15  # of what the wait departs from its mean counts at once
+MEAN_US, CONFIRMATION_US = 1_500_000, 2_000_000  # the mean is over this time, and proves itself in that
+MAX_SAMPLE_US = 200_000  # one look is evidence for no longer: a balancer asked seldom needs more of them
+# answers so far apart make the mean sure, and worth nothing
+TRUSTED_GAP_US, UNTRUSTED_GAP_US = 100_000, 200_000
+# the mean of what is in hand: over this time, or that of so many answers
+IN_FLIGHT_MEAN_US, IN_FLIGHT_MEAN_GAPS = 50_000, 8
+RATE_MEAN_US, RATE_MEAN_GAPS = 1_000_000, 24  # answers a second: the same
+MIN_BUSY_SHARE = 0.25  # of that time must have been spent with work in hand, or nothing is known yet
+MAX_GAP_US = 500_000
+MAX_BASELINE, MAX_INITIAL_BASELINE = 0.6, 0.4  # of the aim, and no more, is taken for usual; in the first ...
+INITIAL_US = 3_000_000  # ... so long, in which all that is known is what is seen
+# the usual follows a longer wait so slowly; while shedding
+BASELINE_RISE_US, BASELINE_RISE_SHEDDING_US = 5_000_000, 30_000_000
 # Servers that have become slower for good show a long wait with little to shed, whatever is shed; where much
 # is shed the wait is a queue's, and to take that for usual would let the queue grow (to 0.6 of the aim).
-DEEP, RISE_DEEP_US = 0.3, 300_000_000
+SEVERE_SHARE, BASELINE_RISE_SEVERE_US = 0.3, 300_000_000
 
 
 class SmoothedShare:
     """The share that goes where nearly all must, for long: by the mean of the wait."""
 
-    __slots__ = ("_proven", "_share", "_way")
+    __slots__ = ("_confirmed_share", "_mean_progress", "_mean_share")
 
     def __init__(self) -> None:
-        self._way, self._share, self._proven = 0.0, 0.0, 0.0  # means of late; the last one's own mean
+        # means of late; the last one's own mean
+        self._mean_progress, self._mean_share, self._confirmed_share = 0.0, 0.0, 0.0
 
     def clear(self) -> None:
         """There was nothing in hand."""
-        self._way = self._share = self._proven = 0.0
+        self._mean_progress = self._mean_share = self._confirmed_share = 0.0
 
-    def share(self, way: float, quick: float, passed: int, gap: float) -> float:
+    def share(self, progress: float, current_share: float, elapsed_us: int, gap_us: float) -> float:
         """`way`: how far the wait has come, 1 where `quick`, the share by now, is full; `passed` since the
         last look and `gap` between answers in us."""
-        if way <= 0 and self._share < 0.01:
+        if progress <= 0 and self._mean_share < 0.01:
             self.clear()
-            return quick
-        way, passed = min(WAY_MOST, way), min(EACH_US, passed)
-        goes = way if way < BEND else 1 - (1 - BEND) * exp(-(way - BEND) / TAIL)
-        new = 1 - exp(-passed / STEADY_US)
-        self._way += (way - self._way) * new
-        self._share += (goes - self._share) * new
-        self._proven += (self._share - self._proven) * (1 - exp(-passed / PROVEN_US))
-        deep = (min(self._share, self._proven) - DEEP_FROM) / (DEEP_FULL - DEEP_FROM)
-        sure = min(1.0, (UNSURE_US - gap) / (UNSURE_US - SURE_US))
-        if deep <= 0 or sure <= 0:
-            return quick
-        held = min(MAX_SEVERE_SHARE, max(0.0, self._share + QUICK * (way - self._way)))
-        return quick + (held - quick) * min(1.0, deep) * sure
+            return current_share
+        progress, elapsed_us = min(MAX_PROGRESS, progress), min(MAX_SAMPLE_US, elapsed_us)
+        target_share = (
+            progress
+            if progress < CURVE_START
+            else 1 - (1 - CURVE_START) * exp(-(progress - CURVE_START) / CURVE_SCALE)
+        )
+        sample_weight = 1 - exp(-elapsed_us / MEAN_US)
+        self._mean_progress += (progress - self._mean_progress) * sample_weight
+        self._mean_share += (target_share - self._mean_share) * sample_weight
+        self._confirmed_share += (self._mean_share - self._confirmed_share) * (
+            1 - exp(-elapsed_us / CONFIRMATION_US)
+        )
+        severity = (min(self._mean_share, self._confirmed_share) - SEVERE_START) / (
+            SEVERE_FULL - SEVERE_START
+        )
+        confidence = min(1.0, (UNTRUSTED_GAP_US - gap_us) / (UNTRUSTED_GAP_US - TRUSTED_GAP_US))
+        if severity <= 0 or confidence <= 0:
+            return current_share
+        smoothed = min(
+            MAX_SEVERE_SHARE, max(0.0, self._mean_share + DEVIATION_WEIGHT * (progress - self._mean_progress))
+        )
+        return current_share + (smoothed - current_share) * min(1.0, severity) * confidence
 
 
 class InFlightLoad:
     """One balancer's requests at servers, and the answers to them."""
 
     __slots__ = (
-        "_answers",
-        "_at",
-        "_busy",
-        "_first_at",
-        "_gap",
-        "_heard_at",
-        "_mean",
-        "_steady",
+        "_answer_count",
         "_baseline",
-        "_usual_at",
-        "_weight",
+        "_baseline_at",
+        "_busy_us",
+        "_first_at",
+        "_in_flight_weight",
+        "_last_answer_at",
+        "_mean_gap_us",
+        "_mean_weight",
+        "_smoothed_share",
+        "_updated_at",
         "in_flight_count",
     )
 
     def __init__(self) -> None:
-        self.in_flight_count, self._weight = 0, 0.0  # in hand: how many, and the sum of 1 / aim
-        self._at, self._mean = 0, 0.0  # when it was brought up to date; the mean of that sum of late
+        self.in_flight_count, self._in_flight_weight = 0, 0.0  # in hand: how many, and the sum of 1 / aim
+        # when it was brought up to date; the mean of that sum of late
+        self._updated_at, self._mean_weight = 0, 0.0
         # Answers, and microseconds with something in hand, of late: idle times say nothing of the pace.
-        self._answers, self._busy = 0.0, 0.0
-        self._heard_at, self._gap = 0, 20_000.0
-        self._baseline, self._usual_at, self._first_at = 0.2, 0, 0  # the wait with room to spare
-        self._steady = SmoothedShare()
+        self._answer_count, self._busy_us = 0.0, 0.0
+        self._last_answer_at, self._mean_gap_us = 0, 20_000.0
+        self._baseline, self._baseline_at, self._first_at = 0.2, 0, 0  # the wait with room to spare
+        self._smoothed_share = SmoothedShare()
 
     def request_started(self, now: int, aim_us: int) -> None:
         """A request whose class has this aim goes to a server for the first time."""
-        self._upto(now)
+        self._advance_to(now)
         self.in_flight_count += 1
-        self._weight += 1 / aim_us
+        self._in_flight_weight += 1 / aim_us
 
     def request_ended(self, now: int, aim_us: int) -> None:
         """It has its answer, was given up, or is late."""
-        self._upto(now)
+        self._advance_to(now)
         self.in_flight_count -= 1
-        self._weight = self._weight - 1 / aim_us if self.in_flight_count else 0.0
+        self._in_flight_weight = self._in_flight_weight - 1 / aim_us if self.in_flight_count else 0.0
 
     def answer_received(self, now: int) -> None:
         """A server has answered a request that it ran."""
-        self._upto(now)
-        self._answers += 1
-        self._gap += (min(GAP_MOST_US, now - self._heard_at) - self._gap) * 0.05
-        self._heard_at = now
+        self._advance_to(now)
+        self._answer_count += 1
+        self._mean_gap_us += (min(MAX_GAP_US, now - self._last_answer_at) - self._mean_gap_us) * 0.05
+        self._last_answer_at = now
 
     def request_rejected(self, now: int, aim_us: int) -> None:
         """A server had no room for a request: as good as one more that waits."""
-        self._upto(now)
-        self._mean += 1 / aim_us
+        self._advance_to(now)
+        self._mean_weight += 1 / aim_us
 
-    def _upto(self, now: int) -> None:
-        passed = now - self._at
-        if passed <= 0:
+    def _advance_to(self, now: int) -> None:
+        elapsed_us = now - self._updated_at
+        if elapsed_us <= 0:
             return
-        self._at = now
-        self._mean += (self._weight - self._mean) * (1 - exp(-passed / max(HAND_US, HAND_GAPS * self._gap)))
+        self._updated_at = now
+        self._mean_weight += (self._in_flight_weight - self._mean_weight) * (
+            1 - exp(-elapsed_us / max(IN_FLIGHT_MEAN_US, IN_FLIGHT_MEAN_GAPS * self._mean_gap_us))
+        )
         if self.in_flight_count:
-            kept = exp(-passed / self._span)
-            self._answers *= kept
-            self._busy = self._busy * kept + passed
+            decay = exp(-elapsed_us / self._rate_window_us)
+            self._answer_count *= decay
+            self._busy_us = self._busy_us * decay + elapsed_us
 
     @property
-    def _span(self) -> float:
-        return max(PACE_US, PACE_GAPS * self._gap)
+    def _rate_window_us(self) -> float:
+        return max(RATE_MEAN_US, RATE_MEAN_GAPS * self._mean_gap_us)
 
     def expected_wait(self, now: int) -> float:
         """What a request sent now will take, in the mean, in parts of its aim; 0 while too little is
         known."""
-        self._upto(now)
-        if self._busy < KNOWN * self._span:
+        self._advance_to(now)
+        if self._busy_us < MIN_BUSY_SHARE * self._rate_window_us:
             return 0.0
-        return self._mean * self._busy / max(1.0, self._answers)
+        return self._mean_weight * self._busy_us / max(1.0, self._answer_count)
 
     def shortage(self, now: int) -> float:
         """The share of the demand, 0..DEEP_MOST, that is to be refused."""
-        if not self.in_flight_count and self._mean < 1e-9:
-            self._steady.clear()
+        if not self.in_flight_count and self._mean_weight < 1e-9:
+            self._smoothed_share.clear()
             return 0.0
         wait = self.expected_wait(now)
         if wait <= 0.0:
             return 0.0
-        usual = self._baseline
-        begin, full = usual + BEGIN * (1 - usual), usual + FULL * (1 - usual)
-        way = max(0.0, (wait - begin) / (full - begin))
-        share = min(MAX_SHED_SHARE, way)
-        passed, self._usual_at, most = now - self._usual_at, now, USUAL_MOST
+        baseline = self._baseline
+        start, full = baseline + SHED_START * (1 - baseline), baseline + SHED_FULL * (1 - baseline)
+        progress = max(0.0, (wait - start) / (full - start))
+        share = min(MAX_SHED_SHARE, progress)
+        elapsed_us, self._baseline_at, max_baseline = now - self._baseline_at, now, MAX_BASELINE
         self._first_at = self._first_at or now
-        if now - self._first_at < FIRST_US:
-            slow, most = PACE_US, FIRST_MOST
-        elif wait < usual:
-            slow = PACE_US
+        if now - self._first_at < INITIAL_US:
+            time_constant_us, max_baseline = RATE_MEAN_US, MAX_INITIAL_BASELINE
+        elif wait < baseline:
+            time_constant_us = RATE_MEAN_US
         else:
-            slow = RISE_US if share <= 0 else RISE_SHED_US if share < DEEP else RISE_DEEP_US
-        self._baseline = min(most, usual + (wait - usual) * (1 - exp(-passed / slow)))
-        return self._steady.share(way, share, passed, self._gap)
+            time_constant_us = (
+                BASELINE_RISE_US
+                if share <= 0
+                else BASELINE_RISE_SHEDDING_US
+                if share < SEVERE_SHARE
+                else BASELINE_RISE_SEVERE_US
+            )
+        self._baseline = min(
+            max_baseline, baseline + (wait - baseline) * (1 - exp(-elapsed_us / time_constant_us))
+        )
+        return self._smoothed_share.share(progress, share, elapsed_us, self._mean_gap_us)
--- a/roadlb/sites/refusal.py
+++ b/roadlb/sites/refusal.py
@@ -14,8 +14,8 @@
 from math import log2
 
 RANKS = 64  # a plan has fewer lines than this
-REPEAT = 0.8  # of a first try's worth ranks a repeat: what has timed out is likelier to be long
-FADE = 0.8  # of what was asked in each rank counts a second later
+REPEAT_WORTH_FACTOR = 0.8  # of a first try's worth ranks a repeat: what has timed out is likelier to be long
+DECAY_PER_S = 0.8  # of what was asked in each rank counts a second later
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,7 +28,7 @@
     repeat: bool | None = None  # marked as asked before, or not
     warm_key: bool | None = None  # with a key served lately, which is likely to be cached; or not
 
-    def fits(self, class_index: int, tenant: int, over_share: bool, repeat: bool, warm_key: bool) -> bool:
+    def matches(self, class_index: int, tenant: int, over_share: bool, repeat: bool, warm_key: bool) -> bool:
         return (
             self.class_index in (None, class_index)
             and self.tenant in (None, tenant)
@@ -41,7 +41,7 @@
 class RefusalOrder:
     """What one balancer was asked for lately, by rank, and so who goes."""
 
-    __slots__ = ("requests_by_rank", "plan", "request_count")
+    __slots__ = ("plan", "request_count", "requests_by_rank")
 
     def __init__(self, plan: Sequence[PlanLine] = ()) -> None:
         self.requests_by_rank, self.request_count = [0.0] * RANKS, 0.0
@@ -62,9 +62,11 @@
     ) -> int:
         """0..RANKS-1; the lowest goes first.  `worth` decides where there is no plan."""
         if not self.plan:
-            return min(RANKS - 1, max(0, int(32 + 4 * log2(worth * (REPEAT if repeat else 1) + 1e-6))))
+            return min(
+                RANKS - 1, max(0, int(32 + 4 * log2(worth * (REPEAT_WORTH_FACTOR if repeat else 1) + 1e-6)))
+            )
         for number, line in enumerate(self.plan):
-            if line.fits(class_index, tenant, over_share, repeat, warm_key):
+            if line.matches(class_index, tenant, over_share, repeat, warm_key):
                 return number
         return RANKS - 1
 
@@ -73,23 +75,23 @@
         self.requests_by_rank[rank] += 1
         self.request_count += 1
 
-    def is_refused(self, rank: int, luck: float, share: float) -> bool:
+    def is_refused(self, rank: int, tie_break: float, share: float) -> bool:
         """Does it go if this share of the demand, 0..1, goes?  `luck`, 0..1, orders equals."""
         return (
-            sum(self.requests_by_rank[:rank]) + luck * self.requests_by_rank[rank]
+            sum(self.requests_by_rank[:rank]) + tie_break * self.requests_by_rank[rank]
             < share * self.request_count
         )
 
     def decay(self) -> None:
         """Once a second."""
-        self.requests_by_rank = [count * FADE for count in self.requests_by_rank]
+        self.requests_by_rank = [count * DECAY_PER_S for count in self.requests_by_rank]
         self.request_count = sum(self.requests_by_rank)
 
 
 class QuotaUsage:
     """What customers ask of one of `parts` balancers, against their shares of the whole."""
 
-    __slots__ = ("counts", "_quotas", "_rates")
+    __slots__ = ("_quotas", "_rates", "counts")
 
     def __init__(self, quotas_per_s: Sequence[float]) -> None:
         self._quotas = list(quotas_per_s)
@@ -105,13 +107,14 @@
         if tenant < len(self.counts):
             self.counts[tenant] += 1
 
-    def exceeds_quota(self, tenant: int, parts: float, luck: float) -> bool:
+    def exceeds_quota(self, tenant: int, divisor: float, tie_break: float) -> bool:
         """Is this request beyond its customer's share?  `luck`, 0..1, spreads the excess over all of them."""
-        return tenant < len(self._rates) and self._rates[tenant] * luck > self._quotas[tenant] / parts
+        return tenant < len(self._rates) and self._rates[tenant] * tie_break > self._quotas[tenant] / divisor
 
     def decay(self) -> None:
         """Once a second."""
         self._rates = [
-            rate * FADE + count * (1 - FADE) for rate, count in zip(self._rates, self.counts, strict=True)
+            rate * DECAY_PER_S + count * (1 - DECAY_PER_S)
+            for rate, count in zip(self._rates, self.counts, strict=True)
         ]
         self.counts = [0] * len(self.counts)
--- a/roadlb/sites/state_machine.py
+++ b/roadlb/sites/state_machine.py
@@ -65,18 +65,18 @@
 
 from .events import (
     Action,
-    ServerAnswered,
-    StateChanged,
+    AttemptFailed,
     CommandRejected,
-    ReportedSilent,
     Event,
-    ServersListed,
-    AttemptFailed,
     OrderAvoidanceChanged,
     PutIn,
+    ReportedSilent,
     RequestSent,
+    ServerAnswered,
+    ServersListed,
     SiteView,
     State,
+    StateChanged,
     TakeOut,
 )
 
@@ -102,56 +102,58 @@
     """One site as this balancer sees it."""
 
     __slots__ = (
-        "answers",
-        "back",
-        "born",
-        "heard",
-        "hearsay",
-        "keep_at",
+        "allowance",
+        "allowance_at_us",
+        "failed_order_trials",
+        "failed_servers",
+        "failing_since_us",
+        "hedge_wins",
+        "last_answer_us",
+        "last_order_answer_us",
+        "newest_start_us",
+        "next_kept_attempt_us",
+        "next_order_trial_us",
+        "next_trial_us",
         "number",
-        "order_at",
-        "order_heard",
-        "order_trial",
+        "order_failed_servers",
+        "order_trial_server",
         "orders_away",
-        "orders_failed",
-        "orders_since",
-        "overtaken",
+        "orders_failing_since_us",
+        "recovered_us",
         "relapses",
-        "room",
-        "room_at",
+        "reported_until_us",
         "servers",
-        "silent",
-        "silent_since",
-        "since",
-        "slow",
-        "slow_at",
+        "slowest_answer_seen_us",
+        "slowest_answer_us",
         "state",
+        "state_since_us",
         "step",
-        "step_at",
-        "trial_at",
-        "trials_failed",
-        "usual",
+        "step_answers",
+        "step_at_us",
+        "usual_rate",
     )
 
     def __init__(self, number: int) -> None:
-        self.number, self.state, self.since = number, State.WHOLE, 0
-        self.silent: set[bytes] = set()  # failed since the last answer from any; LOSS at the most
+        self.number, self.state, self.state_since_us = number, State.WHOLE, 0
+        self.failed_servers: set[bytes] = set()  # failed since the last answer from any; LOSS at the most
         self.servers: Mapping[bytes, int] = {}
-        self.born = 0  # the newest start among its servers
-        self.trial_at, self.relapses = 0, 0
-        self.back = -STABLE_US  # whole again after a loss since then
-        self.step, self.step_at, self.answers = 0, 0, 0
-        self.usual = 0.0  # requests a second that it would get, were it whole
-        self.room, self.room_at = 0.0, 0  # of them, what it may still take on its return
-        self.heard, self.silent_since = -1, 0  # its last answer; the first failure since
-        self.slow, self.slow_at = 0, 0  # its slowest answer of late, us, and when
-        self.overtaken, self.keep_at = 0, 0  # attempts since then whose copies were quicker
-        self.hearsay = 0  # until then others say that it does not answer
-        self.orders_failed: set[bytes] = set()  # at these, and none answered since; LOSS at the most
-        self.orders_since, self.order_heard = 0, -1  # the first of them; the last answer to an order
+        self.newest_start_us = 0  # the newest start among its servers
+        self.next_trial_us, self.relapses = 0, 0
+        self.recovered_us = -STABLE_US  # whole again after a loss since then
+        self.step, self.step_at_us, self.step_answers = 0, 0, 0
+        self.usual_rate = 0.0  # requests a second that it would get, were it whole
+        self.allowance, self.allowance_at_us = 0.0, 0  # of them, what it may still take on its return
+        self.last_answer_us, self.failing_since_us = -1, 0  # its last answer; the first failure since
+        self.slowest_answer_us, self.slowest_answer_seen_us = 0, 0  # its slowest answer of late, us, and when
+        self.hedge_wins, self.next_kept_attempt_us = 0, 0  # attempts since then whose copies were quicker
+        self.reported_until_us = 0  # until then others say that it does not answer
+        self.order_failed_servers: set[bytes] = set()  # at these, and none answered since; LOSS at the most
+        # the first of them; the last answer to an order
+        self.orders_failing_since_us, self.last_order_answer_us = 0, -1
         self.orders_away = False  # orders keep away, but for a trial in turn ...
-        self.order_at, self.order_trial = 0, b""  # ... from then on; the server that one is at
-        self.trials_failed = 0
+        # ... from then on; the server that one is at
+        self.next_order_trial_us, self.order_trial_server = 0, b""
+        self.failed_order_trials = 0
 
 
 class Sites:
@@ -162,14 +164,14 @@
     and `view` change nothing.
     """
 
-    __slots__ = ("_orders_away", "_troubled", "pending_actions", "sites", "trial_us")
+    __slots__ = ("_order_avoided_sites", "_suspect_sites", "pending_actions", "sites", "trial_interval_us")
 
     def __init__(self) -> None:
         self.sites: dict[int, Site] = {}
-        self._troubled: dict[int, Site] = {}  # those that are not whole, or have a silent server
-        self._orders_away: dict[int, Site] = {}  # those that orders keep away from
+        self._suspect_sites: dict[int, Site] = {}  # those that are not whole, or have a silent server
+        self._order_avoided_sites: dict[int, Site] = {}  # those that orders keep away from
         self.pending_actions: list[Action] = []
-        self.trial_us = TRIAL_INTERVAL_US
+        self.trial_interval_us = TRIAL_INTERVAL_US
 
     def handle(self, now: int, event: Event) -> list[Action]:
         self.process(now, event)
@@ -190,24 +192,24 @@
         elif isinstance(event, PutIn):
             self._put_in(now, event.site)
         elif isinstance(event, ReportedSilent):
-            self._doubted(now, event)
+            self._apply_peer_report(now, event)
         else:
-            self._pulse(now)
+            self._tick(now)
 
     def take_actions(self) -> list[Action]:
         """What has been decided since the last call."""
-        pending_actions, self.pending_actions = self.pending_actions, []
-        return pending_actions
+        actions, self.pending_actions = self.pending_actions, []
+        return actions
 
     def _set_state(self, now: int, site: Site, state: State, cause: str) -> None:
         self.pending_actions.append(StateChanged(site.number, site.state, state, cause))
         if state is State.WHOLE and site.state is not State.DOUBTFUL:
-            site.back = now
-        site.state, site.since = state, now
-        if state is State.WHOLE and not site.silent:
-            self._troubled.pop(site.number, None)
+            site.recovered_us = now
+        site.state, site.state_since_us = state, now
+        if state is State.WHOLE and not site.failed_servers:
+            self._suspect_sites.pop(site.number, None)
         else:
-            self._troubled[site.number] = site
+            self._suspect_sites[site.number] = site
 
     # What the list and operators say
 
@@ -218,39 +220,45 @@
                 if len(self.sites) >= MAX_SITES:
                     continue
                 site = self.sites[number] = Site(number)
-            self._forget(now, site, servers)
+            self._forget_failures(now, site, servers)
             if servers and not site.servers and site.state is State.RETURNING:
-                self._first_step(now, site)
+                self._restart_steps(now, site)
             site.servers = servers
             newest = max(servers.values(), default=0)
-            if newest > site.born:
-                if site.state is State.LOST and newest > site.since:
-                    site.trial_at = now  # what failed was another process
-                site.born = newest
+            if newest > site.newest_start_us:
+                if site.state is State.LOST and newest > site.state_since_us:
+                    site.next_trial_us = now  # what failed was another process
+                site.newest_start_us = newest
         for number in [n for n, site in self.sites.items() if n not in event.sites]:
             site = self.sites[number]
             if site.state in (State.OUT, State.LOST, State.RETURNING):
                 site.servers = {}  # what was said or found out outlives the list
             else:
                 del self.sites[number]
-                self._troubled.pop(number, None)
-                self._orders_away.pop(number, None)
+                self._suspect_sites.pop(number, None)
+                self._order_avoided_sites.pop(number, None)
 
-    def _forget(self, now: int, site: Site, servers: Mapping[bytes, int]) -> None:
+    def _forget_failures(self, now: int, site: Site, servers: Mapping[bytes, int]) -> None:
         """What has failed and is no longer listed, or is another process by now."""
-        if site.orders_failed:
-            site.orders_failed = {
-                s for s in site.orders_failed if s in servers and servers[s] == site.servers.get(s)
+        if site.order_failed_servers:
+            site.order_failed_servers = {
+                s for s in site.order_failed_servers if s in servers and servers[s] == site.servers.get(s)
             }
-            if site.orders_away and len(site.orders_failed) < DOUBT_FAILURES:
-                self._orders_go(site, "those that failed orders have left the list")
-        if not site.silent or site.state is State.LOST:
+            if site.orders_away and len(site.order_failed_servers) < DOUBT_FAILURES:
+                self._readmit_orders(site, "those that failed orders have left the list")
+        if not site.failed_servers or site.state is State.LOST:
             return
-        site.silent = {s for s in site.silent if s in servers and servers[s] == site.servers.get(s)}
-        if site.state is State.DOUBTFUL and len(site.silent) < DOUBT_FAILURES and now >= site.hearsay:
+        site.failed_servers = {
+            s for s in site.failed_servers if s in servers and servers[s] == site.servers.get(s)
+        }
+        if (
+            site.state is State.DOUBTFUL
+            and len(site.failed_servers) < DOUBT_FAILURES
+            and now >= site.reported_until_us
+        ):
             self._set_state(now, site, State.WHOLE, "those that failed have left the list")
-        elif site.state is State.WHOLE and not site.silent:
-            self._troubled.pop(site.number, None)
+        elif site.state is State.WHOLE and not site.failed_servers:
+            self._suspect_sites.pop(site.number, None)
 
     def _take_out(self, now: int, number: int) -> None:
         site = self.sites.get(number)
@@ -270,16 +278,16 @@
         if site is None:
             self.pending_actions.append(CommandRejected(number, "no such site in the list"))
         elif site.state is State.OUT:
-            site.silent.clear()
-            self._orders_go(site, "an operator's word")
-            self._return(now, site, "an operator's word")
+            site.failed_servers.clear()
+            self._readmit_orders(site, "an operator's word")
+            self._begin_return(now, site, "an operator's word")
 
-    def _doubted(self, now: int, event: ReportedSilent) -> None:
+    def _apply_peer_report(self, now: int, event: ReportedSilent) -> None:
         site = self.sites.get(event.site)
         if (
             site is None
             or now >= event.until_us
-            or event.since_us <= site.heard
+            or event.since_us <= site.last_answer_us
             or (len(site.servers) < LOSS_FAILURES or site.state not in (State.WHOLE, State.DOUBTFUL))
         ):
             return
@@ -287,9 +295,9 @@
             other.state is State.WHOLE and other.servers for other in self.sites.values() if other is not site
         ):
             return  # somebody must be there to take what it would
-        if now >= site.hearsay:
-            site.trial_at = now  # if they are wrong, this ends it
-        site.hearsay = event.until_us
+        if now >= site.reported_until_us:
+            site.next_trial_us = now  # if they are wrong, this ends it
+        site.reported_until_us = event.until_us
         if site.state is State.WHOLE:
             self._set_state(now, site, State.DOUBTFUL, "it does not answer others")
 
@@ -301,44 +309,50 @@
         site = self.sites.get(number)
         if site is None:
             return
-        site.heard, site.overtaken = now, 0
-        if took_us >= site.slow or now - site.slow_at > SLOWEST_ANSWER_WINDOW_US:
-            site.slow, site.slow_at = took_us, now
+        site.last_answer_us, site.hedge_wins = now, 0
+        if took_us >= site.slowest_answer_us or now - site.slowest_answer_seen_us > SLOWEST_ANSWER_WINDOW_US:
+            site.slowest_answer_us, site.slowest_answer_seen_us = took_us, now
         if order:
-            site.order_heard = now
-            if site.orders_failed:
-                self._orders_go(site, "an order is answered")
-        if not self._troubled or number not in self._troubled:
+            site.last_order_answer_us = now
+            if site.order_failed_servers:
+                self._readmit_orders(site, "an order is answered")
+        if not self._suspect_sites or number not in self._suspect_sites:
             return
-        site.silent.clear()
-        state, by_trials, site.hearsay = site.state, now < site.hearsay, 0
+        site.failed_servers.clear()
+        state, is_reported, site.reported_until_us = site.state, now < site.reported_until_us, 0
         if state is State.WHOLE:
-            del self._troubled[number]
+            del self._suspect_sites[number]
         elif state is State.DOUBTFUL:
-            if by_trials and now - site.since >= SHORT_OUTAGE_US:
-                self._return(now, site, "a server answers")
+            if is_reported and now - site.state_since_us >= SHORT_OUTAGE_US:
+                self._begin_return(now, site, "a server answers")
             else:
                 self._set_state(now, site, State.WHOLE, "a server answers")
         elif state is State.LOST:
             if not site.orders_away:
-                site.orders_failed.clear()
-            if now - site.since < SHORT_OUTAGE_US and not site.relapses:
+                site.order_failed_servers.clear()
+            if now - site.state_since_us < SHORT_OUTAGE_US and not site.relapses:
                 self._set_state(now, site, State.WHOLE, "a server answers at once")
             else:
-                self._return(now, site, "a server answers")
+                self._begin_return(now, site, "a server answers")
         elif state is State.RETURNING:
-            site.answers += 1 if site.servers else 0
-            if site.answers >= RETURN_STEP_ANSWERS and now - site.step_at >= RETURN_STEP_US:
-                site.step, site.step_at, site.answers = site.step + 1, now, 0
+            site.step_answers += 1 if site.servers else 0
+            if site.step_answers >= RETURN_STEP_ANSWERS and now - site.step_at_us >= RETURN_STEP_US:
+                site.step, site.step_at_us, site.step_answers = site.step + 1, now, 0
                 if site.step >= len(RETURN_STEPS):
                     self._set_state(now, site, State.WHOLE, "it has carried every step")
 
-    def _return(self, now: int, site: Site, cause: str) -> None:
-        self._first_step(now, site)
+    def _begin_return(self, now: int, site: Site, cause: str) -> None:
+        self._restart_steps(now, site)
         self._set_state(now, site, State.RETURNING, cause)
 
-    def _first_step(self, now: int, site: Site) -> None:
-        site.step, site.step_at, site.answers, site.room, site.room_at = 0, now, 0, 1.0, now
+    def _restart_steps(self, now: int, site: Site) -> None:
+        site.step, site.step_at_us, site.step_answers, site.allowance, site.allowance_at_us = (
+            0,
+            now,
+            0,
+            1.0,
+            now,
+        )
 
     def on_failed(self, now: int, number: int, server: bytes, order: bool = False) -> bool:
         """An attempt there failed with no answer.  Is the site lost by this one?"""
@@ -351,65 +365,71 @@
         ):
             return False
         if order:
-            self._order_missed(now, site, server)
-        if not site.silent:
-            site.silent_since = now
-        if len(site.silent) < LOSS_FAILURES:
-            site.silent.add(server)
-        self._troubled[number] = site
-        failed = len(site.silent)
+            self._record_order_failure(now, site, server)
+        if not site.failed_servers:
+            site.failing_since_us = now
+        if len(site.failed_servers) < LOSS_FAILURES:
+            site.failed_servers.add(server)
+        self._suspect_sites[number] = site
+        failed = len(site.failed_servers)
         if site.state is State.RETURNING and failed >= DOUBT_FAILURES:
-            self._lose(now, site, f"{failed} servers fail on its return")
+            self._set_lost(now, site, f"{failed} servers fail on its return")
             return True
-        waited = (
-            site.state is State.DOUBTFUL and now - site.since >= MAX_DOUBT_US and failed >= DOUBT_FAILURES
+        is_doubt_expired = (
+            site.state is State.DOUBTFUL
+            and now - site.state_since_us >= MAX_DOUBT_US
+            and failed >= DOUBT_FAILURES
         )
-        quiet = now - site.heard >= max(
-            MIN_SILENCE_US, min(MAX_SILENCE_US, SILENCE_LATENCY_MULTIPLE * site.slow)
+        is_silent = now - site.last_answer_us >= max(
+            MIN_SILENCE_US, min(MAX_SILENCE_US, SILENCE_LATENCY_MULTIPLE * site.slowest_answer_us)
         )
-        if quiet and (failed >= LOSS_FAILURES or waited) and self._others_answer(site):
-            self._lose(now, site, f"{failed} servers fail, none answers")
+        if is_silent and (failed >= LOSS_FAILURES or is_doubt_expired) and self._another_site_answers(site):
+            self._set_lost(now, site, f"{failed} servers fail, none answers")
             return True
         if failed >= DOUBT_FAILURES and site.state is State.WHOLE:
-            site.trial_at = now + self._trial_us(site)
+            site.next_trial_us = now + self._trial_delay_us(site)
             self._set_state(now, site, State.DOUBTFUL, f"{failed} servers fail, none answers")
         return False
 
-    def _order_missed(self, now: int, site: Site, server: bytes) -> None:
-        if not site.orders_failed:
-            site.orders_since = now
-        if len(site.orders_failed) < LOSS_FAILURES:
-            site.orders_failed.add(server)
+    def _record_order_failure(self, now: int, site: Site, server: bytes) -> None:
+        if not site.order_failed_servers:
+            site.orders_failing_since_us = now
+        if len(site.order_failed_servers) < LOSS_FAILURES:
+            site.order_failed_servers.add(server)
         if site.orders_away:
-            if server == site.order_trial:
-                site.order_trial, site.trials_failed = b"", site.trials_failed + 1
-                site.order_at = now + min(MAX_TRIAL_INTERVAL_US, self.trial_us << min(site.trials_failed, 3))
+            if server == site.order_trial_server:
+                site.order_trial_server, site.failed_order_trials = b"", site.failed_order_trials + 1
+                site.next_order_trial_us = now + min(
+                    MAX_TRIAL_INTERVAL_US, self.trial_interval_us << min(site.failed_order_trials, 3)
+                )
             return
         if (
-            len(site.orders_failed) >= LOSS_FAILURES
-            and site.heard >= site.orders_since
-            and (now - site.order_heard >= MIN_SILENCE_US)
+            len(site.order_failed_servers) >= LOSS_FAILURES
+            and site.last_answer_us >= site.orders_failing_since_us
+            and (now - site.last_order_answer_us >= MIN_SILENCE_US)
             and any(
-                other.order_heard >= site.orders_since for other in self.sites.values() if other is not site
+                other.last_order_answer_us >= site.orders_failing_since_us
+                for other in self.sites.values()
+                if other is not site
             )
         ):
-            site.orders_away, site.order_trial, site.trials_failed = True, b"", 0
-            site.order_at = now + self.trial_us
-            self._orders_away[site.number] = site
+            site.orders_away, site.order_trial_server, site.failed_order_trials = True, b"", 0
+            site.next_order_trial_us = now + self.trial_interval_us
+            self._order_avoided_sites[site.number] = site
             self.pending_actions.append(
                 OrderAvoidanceChanged(
                     site.number,
                     True,
-                    f"{len(site.orders_failed)} servers fail them and answer other requests",
+                    f"{len(site.order_failed_servers)} servers fail them and answer other requests",
                 )
             )
 
-    def _orders_go(self, site: Site, cause: str) -> None:
+    def _readmit_orders(self, site: Site, cause: str) -> None:
         """Nothing that orders have met there counts any more."""
-        site.orders_failed.clear()
+        site.order_failed_servers.clear()
         if site.orders_away:
             site.orders_away = False
-            del self._orders_away[site.number]
+            del self._order_avoided_sites[site.number]
             self.pending_actions.append(OrderAvoidanceChanged(site.number, False, cause))
 
     def on_hedge_won(self, now: int, number: int, server: bytes) -> None:
@@ -419,8 +439,8 @@
         site = self.sites.get(number)
         if site is None:
             return
-        site.overtaken += 1
-        if site.state is State.DOUBTFUL and now - site.since >= MAX_DOUBT_US:
+        site.hedge_wins += 1
+        if site.state is State.DOUBTFUL and now - site.state_since_us >= MAX_DOUBT_US:
             self.on_failed(now, number, server)
 
     def keeps_hedged_attempt(self, now: int, number: int) -> bool:
@@ -431,40 +451,44 @@
         site = self.sites.get(number)
         if (
             site is None
-            or site.overtaken < LOSS_FAILURES
-            or now - site.heard < MIN_SILENCE_US
-            or now < site.keep_at
+            or site.hedge_wins < LOSS_FAILURES
+            or now - site.last_answer_us < MIN_SILENCE_US
+            or now < site.next_kept_attempt_us
         ):
             return False
-        site.keep_at = now + KEPT_ATTEMPT_INTERVAL_US
+        site.next_kept_attempt_us = now + KEPT_ATTEMPT_INTERVAL_US
         return True
 
-    def _lose(self, now: int, site: Site, cause: str) -> None:
-        if site.state is State.RETURNING or now - site.back < STABLE_US:
+    def _set_lost(self, now: int, site: Site, cause: str) -> None:
+        if site.state is State.RETURNING or now - site.recovered_us < STABLE_US:
             site.relapses += 1
-        site.trial_at = now + self._trial_us(site)
+        site.next_trial_us = now + self._trial_delay_us(site)
         self._set_state(now, site, State.LOST, cause)
 
-    def _trial_us(self, site: Site) -> int:
-        return min(MAX_TRIAL_INTERVAL_US, self.trial_us << min(site.relapses, 3))
+    def _trial_delay_us(self, site: Site) -> int:
+        return min(MAX_TRIAL_INTERVAL_US, self.trial_interval_us << min(site.relapses, 3))
 
-    def _others_answer(self, site: Site) -> bool:
+    def _another_site_answers(self, site: Site) -> bool:
         """Has any other site answered since this one fell silent?"""
-        return any(other.heard >= site.silent_since and other is not site for other in self.sites.values())
+        return any(
+            other.last_answer_us >= site.failing_since_us and other is not site
+            for other in self.sites.values()
+        )
 
     def on_sent(self, now: int, number: int, server: bytes = b"", order: bool = False) -> None:
         """A request goes there: a trial, if the site is lost, and the next one waits for its turn."""
-        if order and number in self._orders_away:
-            away = self._orders_away[number]
-            away.order_trial, away.order_at = server, now + MAX_TRIAL_INTERVAL_US  # if it is never heard of
-        site = self._troubled.get(number)
+        if order and number in self._order_avoided_sites:
+            avoided = self._order_avoided_sites[number]
+            # if it is never heard of
+            avoided.order_trial_server, avoided.next_order_trial_us = server, now + MAX_TRIAL_INTERVAL_US
+        site = self._suspect_sites.get(number)
         if site is None:
             return
         if site.state is State.LOST or site.state is State.DOUBTFUL:
-            site.trial_at = now + self._trial_us(site)
+            site.next_trial_us = now + self._trial_delay_us(site)
         elif site.state is State.RETURNING:
-            site.room = self._room(now, site) - 1.0
-            site.room_at = now
+            site.allowance = self._allowance(now, site) - 1.0
+            site.allowance_at_us = now
 
     def is_closed(
         self,
@@ -477,51 +501,55 @@
         """Is it out of bounds for a request now?  A bold one has nowhere else to go; only an operator's word
         keeps it away, or, if it may not be repeated, a loss: better refused than lost.  A spare one would
         else be refused: it waits for no step of a return."""
-        if not repeatable and number in self._orders_away and now < self._orders_away[number].order_at:
+        if (
+            not repeatable
+            and number in self._order_avoided_sites
+            and now < self._order_avoided_sites[number].next_order_trial_us
+        ):
             return True
-        site = self._troubled.get(number)
+        site = self._suspect_sites.get(number)
         if site is None:
             return False
         state = site.state
         if last_resort or state is State.OUT:
             return state is State.OUT or state is State.LOST and not repeatable
         if state is State.LOST:
-            return now < site.trial_at or not repeatable
-        if state is State.DOUBTFUL and now < site.hearsay:
-            return now < site.trial_at or not repeatable
+            return now < site.next_trial_us or not repeatable
+        if state is State.DOUBTFUL and now < site.reported_until_us:
+            return now < site.next_trial_us or not repeatable
         return (
             state is State.DOUBTFUL
             and not repeatable
-            or (state is State.RETURNING and not otherwise_refused and self._room(now, site) < 1.0)
+            or (state is State.RETURNING and not otherwise_refused and self._allowance(now, site) < 1.0)
         )
 
-    def _room(self, now: int, site: Site) -> float:
+    def _allowance(self, now: int, site: Site) -> float:
         """Requests that a returning site may take now, saved for a quarter of a second at the most."""
-        rate = RETURN_STEPS[site.step] * site.usual
-        return min(max(1.0, rate / 4), site.room + max(1.0, rate) * (now - site.room_at) / 1e6)
+        rate = RETURN_STEPS[site.step] * site.usual_rate
+        return min(max(1.0, rate / 4), site.allowance + max(1.0, rate) * (now - site.allowance_at_us) / 1e6)
 
     def limited(self, number: int) -> bool:
         """Is it lost, on its way back, or tried on others' word?"""
-        site = self._troubled.get(number)
+        site = self._suspect_sites.get(number)
         return site is not None and (
-            site.state is State.LOST or site.state is State.RETURNING or site.hearsay > 0
+            site.state is State.LOST or site.state is State.RETURNING or site.reported_until_us > 0
         )
 
     def due_trial(self, now: int) -> int:
         """A lost or doubtful site that a repeatable request should try now; -1: there is none."""
-        for number, site in self._troubled.items():
-            asks = site.state is State.LOST or site.state is State.DOUBTFUL
-            if asks and now >= site.trial_at and site.servers:
+        for number, site in self._suspect_sites.items():
+            wants_trial = site.state is State.LOST or site.state is State.DOUBTFUL
+            if wants_trial and now >= site.next_trial_us and site.servers:
                 return number
         return -1
 
     def spare_site(self, now: int) -> int:
         """A site that a repeatable request can go to although the others have no room: it is to be tried, or
         may take more on its return; -1: there is none."""
-        if not self._troubled:
+        if not self._suspect_sites:
             return -1
-        for number, site in self._troubled.items():
-            if site.state is State.RETURNING and site.servers and self._room(now, site) >= 1.0:
+        for number, site in self._suspect_sites.items():
+            if site.state is State.RETURNING and site.servers and self._allowance(now, site) >= 1.0:
                 return number
         return self.due_trial(now)
 
@@ -533,19 +561,19 @@
             rates[number] = rates.get(number, 0.0) + rate
         for number, rate in rates.items():
             if number in self.sites:
-                self.sites[number].usual = rate
-        asked = max(1.0, sum(rates.values()))
-        self.trial_us = max(
-            TRIAL_INTERVAL_US, min(MAX_TRIAL_INTERVAL_US, int(REQUESTS_PER_TRIAL * 1e6 / asked))
+                self.sites[number].usual_rate = rate
+        total_rate = max(1.0, sum(rates.values()))
+        self.trial_interval_us = max(
+            TRIAL_INTERVAL_US, min(MAX_TRIAL_INTERVAL_US, int(REQUESTS_PER_TRIAL * 1e6 / total_rate))
         )
 
-    def _pulse(self, now: int) -> None:
+    def _tick(self, now: int) -> None:
         for site in self.sites.values():
-            if site.relapses and site.state is State.WHOLE and now - site.since > STABLE_US:
+            if site.relapses and site.state is State.WHOLE and now - site.state_since_us > STABLE_US:
                 site.relapses = 0
-            if site.hearsay and now >= site.hearsay:
-                site.hearsay = 0
-                if site.state is State.DOUBTFUL and len(site.silent) < DOUBT_FAILURES:
+            if site.reported_until_us and now >= site.reported_until_us:
+                site.reported_until_us = 0
+                if site.state is State.DOUBTFUL and len(site.failed_servers) < DOUBT_FAILURES:
                     self._set_state(now, site, State.WHOLE, "others say so no longer")
 
     def view(self) -> list[SiteView]:
@@ -557,10 +585,10 @@
                 site.state,
                 shares.get(site.state, RETURN_STEPS[min(site.step, len(RETURN_STEPS) - 1)]),
                 len(site.servers),
-                len(site.silent),
-                site.since,
+                len(site.failed_servers),
+                site.state_since_us,
                 site.relapses,
-                site.heard,
+                site.last_answer_us,
                 site.orders_away,
             )
             for n, site in sorted(self.sites.items())
--- a/roadlb/sites/warm_up.py
+++ b/roadlb/sites/warm_up.py
@@ -15,7 +15,7 @@
 
 from collections.abc import Iterable
 
-from .events import Action, StateChanged, State
+from .events import Action, State, StateChanged
 
 LISTING_DELAY_US = 4_000_000  # a started server is listed for every balancer by then (the lab: 3.4 s at most)
 
@@ -23,36 +23,42 @@
 class WarmUp:
     """Of all servers, as one balancer knows of them."""
 
-    __slots__ = ("_back", "_cold_from", "_cold_us", "_lost")
+    __slots__ = ("_lost_at", "_ramp_us", "_returned_at", "_start_share")
 
     def __init__(self, cold_from: float, cold_us: int) -> None:
         self.configure(cold_from, cold_us)
-        self._lost: dict[int, int] = {}  # by site: since when it was lost, the last time
-        self._back: dict[int, int] = {}  # and when it answered again
+        self._lost_at: dict[int, int] = {}  # by site: since when it was lost, the last time
+        self._returned_at: dict[int, int] = {}  # and when it answered again
 
     def configure(self, cold_from: float, cold_us: int) -> None:
         """Of its capacity a server has `cold_from` when it starts, and all after `cold_us`; 0: at once."""
-        self._cold_from, self._cold_us = cold_from, cold_us
+        self._start_share, self._ramp_us = cold_from, cold_us
 
-    def observe(self, now: int, decided: Iterable[Action]) -> bool:
+    def observe(self, now: int, actions: Iterable[Action]) -> bool:
         """What is decided of sites.  May any servers be colder by it than they were?"""
-        colder = False
-        for change in decided:
+        is_any_colder = False
+        for change in actions:
             if not isinstance(change, StateChanged):
                 continue
             if change.after is State.LOST:
-                self._lost[change.site] = now
+                self._lost_at[change.site] = now
             elif change.after is State.RETURNING and (
-                self._back.get(change.site, -1) < self._lost.get(change.site, -1)
+                self._returned_at.get(change.site, -1) < self._lost_at.get(change.site, -1)
             ):
-                self._back[change.site], colder = now, True  # the first time since it was lost
-        return colder
+                self._returned_at[change.site], is_any_colder = now, True  # the first time since it was lost
+        return is_any_colder
 
-    def capacity_share(self, now: int, site: int, born: int) -> float:
+    def capacity_share(self, now: int, site: int, started_at: int) -> float:
         """Of a server of this site that by the list has started at `born`; 0: long ago."""
-        back = self._back.get(site)
-        if back is not None and now - back < LISTING_DELAY_US and born < self._lost[site]:
-            born = back
-        if not born or not self._cold_us:
+        returned_at = self._returned_at.get(site)
+        if (
+            returned_at is not None
+            and now - returned_at < LISTING_DELAY_US
+            and started_at < self._lost_at[site]
+        ):
+            started_at = returned_at
+        if not started_at or not self._ramp_us:
             return 1.0
-        return min(1.0, self._cold_from + (1 - self._cold_from) * max(0.0, (now - born) / self._cold_us))
+        return min(
+            1.0, self._start_share + (1 - self._start_share) * max(0.0, (now - started_at) / self._ramp_us)
+        )
