--- a/roadlb/overload/__init__.py
+++ b/roadlb/overload/__init__.py
@@ -1,1 +1,1 @@
-"""What the program decides about itself: how late its loop runs, how short it is of means, what to shed."""
+"""Overload control of the process: its event loop's delay, its resource usage, and the share to shed."""
--- a/roadlb/overload/controller.py
+++ b/roadlb/overload/controller.py
@@ -1,21 +1,22 @@
-"""How much of the demand the process must refuse so that it does not fall behind itself.
-
-Theory of operation.  Let `kept` be the part of the demand that is not to be refused.  CPU used is about
-proportional to it, so it is moved by factors: one gain serves any overload.
-
-- CPU near its limit lowers `kept` before anything is late, by its distance from TARGET, and faster once
-  nothing is left (SATURATED): then the distance says no more how much too much is asked for.
-- It does so only down to KEPT_BUSY.  Below, more CPU goes into refusing than into serving.  Where clients ask
-  again at once, refusing alone fills the CPU, whatever is refused, and to refuse more only serves less.
-- It does so only where refusing saves CPU at all: a client asks up to ASKED_AGAIN times again, so that a
-  refusal must cost less than that part of a served request.  Where it costs half, shedding by CPU loses a
-  third of the worth, and goes on doing so after a burst; then the loop's lateness alone decides.
-- A late loop lowers it further, down to KEPT_LEAST: there is more than can even be refused in time.  The loop
-  may be late by a part of the shortest aim.  It must be so in two readings, as a stop by the host is over
-  in one; a collection of garbage or a new list of nodes is shorter than any part that counts.
+"""The share of the demand that the process must refuse so that it does not fall behind.
+
+Theory of operation.  Let `kept` be the part of the demand that is not refused.  CPU usage is about
+proportional to it, so it is changed by factors: one gain suits any overload.
+
+- CPU usage near its limit lowers `kept` before anything is late, by its ratio to TARGET_CPU_SHARE.  It does
+  so faster once the CPU is saturated (SATURATED_CPU_SHARE), as the ratio then no longer shows the excess
+  demand.
+- It does so only down to MIN_KEPT_BY_CPU.  Below that, refusing takes more CPU than serving.  If clients
+  retry at once, refusals alone fill the CPU, whatever share is refused, and refusing more only serves less.
+- It does so only if refusing saves CPU at all: a client retries up to MAX_CLIENT_RETRIES times, so that all
+  refusals together must cost less than a served request.  If a refusal costs half of one, shedding by CPU
+  loses a third of the worth, and goes on doing so after a burst; then the loop's delay alone decides.
+- A late loop lowers it further, down to MIN_KEPT: there is more demand than can even be refused in time.  The
+  loop may be late by a part of the shortest aim.  Two readings must show the delay, as a stop by the host is
+  over in one; a garbage collection or a new server list is shorter than any delay that counts.
 - Otherwise it rises again.
 
-The figures were found with benchmarks/overload_sim.py; docs/design/overload.md has them.
+benchmarks/overload_sim.py simulates the controller; docs/design/overload.md has its results.
 """
 
 from __future__ import annotations
@@ -27,33 +28,33 @@
 from .cost import RequestCost
 from .meter import READING_INTERVAL_US, Reading
 
-TARGET_CPU_SHARE = 0.92  # of the CPU limit; at 0.85 full load loses a tenth more worth, at 0.98 bursts do
-CPU_MEAN_US = 200_000  # of the mean CPU share: two periods of a quota
-GAIN = 0.8  # a reading's CPU share over TARGET lowers `kept` by this power of their ratio
-# so much in so many readings: by chance that is rare even at a load of 0.9
+TARGET_CPU_SHARE = 0.92  # of the CPU limit; 0.85 loses a tenth more worth at full load, 0.98 in bursts
+CPU_MEAN_US = 200_000  # time constant of the mean CPU share: two periods of a CPU quota
+GAIN = 0.8  # each reading lowers `kept` by this power of the target's ratio to the CPU share
+# This CPU share in so many consecutive readings: by chance rare even at a load of 0.9.
 SATURATED_CPU_SHARE, SATURATED_READINGS = 0.97, 3
-# factors a reading: when saturated, and at the most when there is room again
+# Factors per reading: when the CPU is saturated, and at most when there is capacity again.
 DECREASE_FACTOR, MAX_INCREASE_FACTOR = 0.85, 1.2
-MIN_KEPT_BY_CPU = 0.25  # refusing costs a sixth to a fifth of serving: 60% of the CPU serves at this part
+MIN_KEPT_BY_CPU = 0.25  # as refusing costs a sixth to a fifth of serving, 60% of the CPU still serves
 MIN_KEPT = 0.05
-MAX_CLIENT_RETRIES = 3  # times that a client tries again, at once or soon
-MAX_DELAY_SHARE = 1 / 8  # of the shortest aim, on the mean: a request passes the loop twice
-MIN_DELAY_LIMIT_US = 10_000  # a quota of half a core stops it for 50 ms in 100: late by 8 ms on the mean
-MIN_SHED_SHARE = 0.03  # less is not worth refusing anything: what is refused is asked for again
-# share of memory or descriptors from which, and down to which, they are short
+MAX_CLIENT_RETRIES = 3  # how often a client retries, at once or soon
+MAX_DELAY_SHARE = 1 / 8  # of the shortest aim, for the mean delay: a request passes the loop twice
+MIN_DELAY_LIMIT_US = 10_000  # a quota of half a core stops the process for 50 ms in 100: a mean delay of 8 ms
+MIN_SHED_SHARE = 0.03  # a smaller share is not worth refusing, as refused requests come again
+# Shares of memory or descriptors above which they become short, and below which they no longer are.
 HIGH_WATERMARK, LOW_WATERMARK = 0.85, 0.75
 
 
 @dataclass(slots=True, frozen=True)
 class Shed:
-    """At least this share, 0..0.95, of the arriving requests is to be refused, the least worth first."""
+    """Refuse at least this share, 0..0.95, of the arriving requests, those of the least worth first."""
 
     share: float
 
 
 @dataclass(slots=True, frozen=True)
 class Tighten:
-    """Memory or descriptors are short: idle connections are to be kept for less; or that is over."""
+    """Memory or descriptors are short, so that idle connections are to be closed earlier; or no longer so."""
 
     on: bool
 
@@ -62,11 +63,11 @@
 
 
 class Controller:
-    """Fed a reading every 100 ms; says when what is to be shed or tightened changes."""
+    """Takes a reading every 100 ms; returns changes of what to shed and whether to tighten limits."""
 
     def __init__(self, aim_us: int, refusal_cost: float) -> None:
-        """`aim_us`: within this the class that is most in a hurry wants its answer.  `refusal`: what refusing
-        a request costs, as a part of what serving it does, 0..1."""
+        """`aim_us`: the shortest aim of a class.  `refusal_cost`: the cost of refusing a request as a part of
+        that of serving it, 0..1."""
         if aim_us <= 0:
             raise ValueError(f"aim_us: {aim_us!r} must be positive")
         if not 0 < refusal_cost <= 1:
@@ -75,15 +76,15 @@
         self._max_delay_us = max(MIN_DELAY_LIMIT_US, aim_us * MAX_DELAY_SHARE)
         self._cost, self._saturated_count = RequestCost(CPU_MEAN_US, TARGET_CPU_SHARE, refusal_cost), 0
         self._last_delay_us = 0.0
-        self._kept, self._share, self._is_tight = 1.0, -1.0, False  # the first share is always told
+        self._kept, self._share, self._is_tight = 1.0, -1.0, False  # -1: the first share is always reported
 
     @property
     def share(self) -> float:
-        """What is shed at the moment."""
+        """The share that is shed at present."""
         return max(0.0, self._share)
 
     def handle(self, now: int, event: Reading) -> list[Action]:
-        """One reading; `now` is the clock's time, on which nothing depends but the reading's interval."""
+        """Process one reading.  Only its interval matters, not the clock time `now`."""
         actions: list[Action] = []
         self._kept = self._next_kept(event)
         share = 1 - self._kept if self._kept < 1 - MIN_SHED_SHARE else 0.0
@@ -97,11 +98,11 @@
         return actions
 
     def _next_kept(self, reading: Reading) -> float:
-        """The part of the demand to keep from here on."""
+        """The part of the demand to keep from now on."""
         cpu = self._cost.requests_cpu_share(reading)
         self._saturated_count = self._saturated_count + 1 if reading.cpu_share >= SATURATED_CPU_SHARE else 0
         delay_us, self._last_delay_us = min(reading.late_mean_us, self._last_delay_us), reading.late_mean_us
-        # a late loop reads late; a stop is no experience
+        # A late loop takes its readings late; a long stop counts as no more than two readings.
         readings = min(2.0, reading.interval_us / READING_INTERVAL_US)
         factor = float((TARGET_CPU_SHARE / max(cpu, 0.05)) ** (GAIN * readings))
         if self._saturated_count >= SATURATED_READINGS and factor < 1:
--- a/roadlb/overload/cost.py
+++ b/roadlb/overload/cost.py
@@ -1,8 +1,8 @@
-"""What a request costs in CPU time, learned while the program runs.
+"""The CPU time that a request costs, learned while the process runs.
 
-CPU that is used for something else, such as clients that send rubbish at full speed, is no reason to refuse
-requests: to refuse them would not bring it back.  Five such clients, each asking again the moment it is
-answered, take all CPU that is left, and nothing is late for it.
+CPU used for something else, such as clients that send malformed data at full speed, is no reason to refuse
+requests, because refusing them would not free it.  Five such clients, each sending again as soon as it is
+answered, take all CPU that is left without delaying anything.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 
 from .meter import Reading
 
-WINDOW_US, MIN_REQUESTS = 1_000_000, 50.0  # a cost is the mean over so long, and not from fewer requests
-DECREASE_GAIN, INCREASE_GAIN = 0.5, 0.05  # so far the cost moves to one that is lower, or higher, in a window
-COST_MARGIN = 1.15  # the cost is known to this factor at worst
+WINDOW_US, MIN_REQUESTS = 1_000_000, 50.0  # a cost is the mean over at least this time and these requests
+DECREASE_GAIN, INCREASE_GAIN = 0.5, 0.05  # part of the difference by which a window lowers or raises the cost
+COST_MARGIN = 1.15  # upper bound of the error of the cost, as a factor
 
 
 class RequestCost:
-    """Fed each reading; tells how much of the CPU limit requests take, 0..1 and above."""
+    """Takes each reading and returns the share of the CPU limit that requests take, 0..1 and above."""
 
     def __init__(self, mean_us: float, full_share: float, refusal_cost: float) -> None:
-        """The share is a mean over `memory_us`.  From a CPU share of `full` on no cost is believed to rise:
-        it is then that something else may take whatever is left.  `refusal`: what refusing costs, as a part
-        of what serving does."""
+        """The share is a mean over `mean_us`.  From a CPU share of `full_share` on the cost is not raised, as
+        something else may then take all CPU that is left.  `refusal_cost`: the cost of refusing a request as
+        a part of that of serving it."""
         self._mean_us, self._full_share, self._refusal_cost = mean_us, full_share, refusal_cost
-        self._cost = 0.0  # us of the limit for a request that is served
+        self._cost = 0.0  # microseconds of the limit per served request; 0: not known yet
         self._cpu_share, self._unit_rate = 0.0, 0.0
         self._window_us, self._window_cpu_us, self._window_units = 0, 0.0, 0.0
 
     def requests_cpu_share(self, reading: Reading) -> float:
-        """The share of the CPU limit that went into requests lately; all that was used if nobody counts."""
+        """The recent share of the CPU limit that requests took; all used CPU if requests are not counted."""
         weight = 1 - exp(-reading.interval_us / self._mean_us)
         self._cpu_share += (reading.cpu_share - self._cpu_share) * weight
         if reading.arrived_count < 0:
--- a/roadlb/overload/loop_monitor.py
+++ b/roadlb/overload/loop_monitor.py
@@ -1,36 +1,36 @@
-"""The heartbeat of the event loop: how late the loop runs, and how long what it reads may have waited.
+"""Measures the delay of the event loop with a heartbeat, and how long the data that it reads may have waited.
 
-A clock read in a callback cannot tell how long the callback was due.  A beat that is due every 10 ms can:
-whatever is overdue on it, everything else in the loop is.
+Reading the clock in a callback does not show for how long the callback was due.  A beat that is due every 10
+ms does: everything else in the loop is as late as the beat.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-BEAT_INTERVAL_US = 10_000  # costs 0.05% of a core; less than the margin that is taken off a client's time
-NORMAL_TURN_US = 2_000  # a turn of a sound loop takes less
+BEAT_INTERVAL_US = 10_000  # costs 0.05% of a core; below the margin subtracted from a client's time limit
+NORMAL_TURN_US = 2_000  # an iteration of a loop without delay takes less
 
 
 @dataclass(slots=True)
 class LoopDelay:
-    """The loop's delay over an interval, in microseconds: the largest, and the mean over time."""
+    """The delay of the loop over an interval, in microseconds: the maximum, and the mean over time."""
 
     max_us: int
     mean_us: float
 
 
 class LoopMonitor:
-    """Kept by the owner of the loop, who arms the timer for each beat.  Times are us of one clock."""
+    """The delay of a loop whose owner sets the timer for each beat.  Times are microseconds of one clock."""
 
     def __init__(self, now: int) -> None:
         self._beat_due = now + BEAT_INTERVAL_US
-        self._beat_before_delay = 0  # the beat before the last one, if the last one was late
+        self._beat_before_delay = 0  # the beat before the last one if the last one was late, else 0
         self._interval_start = now
         self._max_us, self._delay_area = 0, 0.0
 
     def beat(self, now: int) -> int:
-        """The timer has fired; returns when it is to fire next."""
+        """The timer has fired; returns when it has to fire next."""
         delay_us = self.late_us(now)
         self._beat_before_delay = self._beat_due - BEAT_INTERVAL_US if delay_us >= NORMAL_TURN_US else 0
         self._record(delay_us)
@@ -38,21 +38,22 @@
         return self._beat_due
 
     def late_us(self, now: int) -> int:
-        """By how much the next beat is overdue: 0 on a sound loop, right in any callback of a long turn."""
+        """How long the next beat is overdue: 0 without delay; correct in any callback of a long iteration."""
         return max(0, now - self._beat_due)
 
     def earliest_arrival_us(self, now: int) -> int:
-        """The earliest moment at which bytes read at `now` may have come: `now` on a sound loop.
+        """The earliest time at which bytes read at `now` can have arrived: `now` if the loop is not late.
 
-        What a long turn reads was there when it began, which was after the last beat.  What the next turn
-        reads may have come in the long one: so after a late beat, up to the next one, the beat before counts.
+        Bytes read in a long iteration had arrived when it began, which was after the last beat.  Bytes read
+        in the next one may have arrived during the long one: so from a late beat to the next beat, the beat
+        before the late one counts.
         """
         return self._beat_before_delay or (
             now if now <= self._beat_due else self._beat_due - BEAT_INTERVAL_US
         )
 
     def take_delay(self, now: int) -> LoopDelay:
-        """The delay since the last call; one that still lasts counts as far as it has come."""
+        """The delay since the last call; one that is still going on counts up to now."""
         delay_us = self.late_us(now)
         delay = LoopDelay(
             max(self._max_us, delay_us),
@@ -63,4 +64,4 @@
 
     def _record(self, delay_us: int) -> None:
         self._max_us = max(self._max_us, delay_us)
-        self._delay_area += delay_us * delay_us / 2  # the delay grows from 0 to `late` in that time
+        self._delay_area += delay_us * delay_us / 2  # the integral of a delay that grows from 0 to `delay_us`
--- a/roadlb/overload/meter.py
+++ b/roadlb/overload/meter.py
@@ -1,4 +1,4 @@
-"""Turns what is measured of the process into shares of what it may use, one reading at a time."""
+"""Measures the resource usage of the process as shares of its limits, one reading at a time."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from .loop_monitor import LoopMonitor
 
-# between readings: the period of a CPU quota, so that each holds one of its stops
+# The period of a CPU quota, so that each reading contains one of its stops.
 READING_INTERVAL_US = 100_000
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the process may use.
+    """The resource limits of the process.
 
-    `cores`: CPU time a second, in cores.  `memory_mb`: resident memory in MB of 2^20 bytes.  `sockets`: open
-    descriptors.  0 stands for no limit; its share is then always 0.
+    `cores`: CPU time per second, in cores.  `memory_mb`: resident memory in MB of 2^20 bytes.  `sockets`:
+    open descriptors.  0 means no limit; the share is then always 0.
     """
 
     cores: float
@@ -26,10 +26,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Reading:
-    """The process over one interval; shares are of its limits, 1.0 is all of it.
+    """The resource usage of the process over one interval; shares are of its limits, 1.0 is all of a limit.
 
-    `late_max_us` and `late_mean_us` tell how late the loop ran: at most, and on the mean over time.  `asked`
-    requests came, of which `refused` were refused at once; -1 where nobody counts.
+    `late_max_us` and `late_mean_us`: the largest delay of the loop, and its mean over time.  `arrived_count`
+    requests arrived, of which `refused_count` were refused at once; -1 if requests are not counted.
     """
 
     interval_us: int
@@ -43,9 +43,9 @@
 
 
 class Meter:
-    """Made with callables for CPU time used (us), resident memory (bytes) and open descriptors.
+    """Takes readings, from callables for used CPU time (us), resident memory (bytes) and open descriptors.
 
-    `counts` tells how many requests have come so far, and how many of them were refused at once.
+    `request_counts` returns how many requests have arrived so far, and how many of them were refused at once.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
     ) -> None:
         for name in ("cores", "memory_mb", "sockets"):
             if getattr(limits, name) < 0:
-                raise ValueError(f"{name}: {getattr(limits, name)!r} is negative; 0 stands for no limit")
+                raise ValueError(f"{name}: {getattr(limits, name)!r} is negative; 0 means no limit")
         self._loop_monitor, self._limits = loop_monitor, limits
         self._cpu_used_us, self._memory_bytes, self._descriptors = cpu_used_us, memory_bytes, descriptors
         self._request_counts = request_counts
@@ -68,7 +68,7 @@
         self._read_arrived, self._read_refused = request_counts()
 
     def read(self, now: int) -> Reading:
-        """The reading since the last one.  Two in one microsecond make an interval of 1 us."""
+        """The reading of the interval since the last one, which is at least 1 us long."""
         cpu, (arrived, refused), limits = self._cpu_used_us(), self._request_counts(), self._limits
         interval, delay = max(1, now - self._read_at), self._loop_monitor.take_delay(now)
         reading = Reading(
--- a/roadlb/overload/readings.py
+++ b/roadlb/overload/readings.py
@@ -1,4 +1,4 @@
-"""What the operating system tells: CPU time, resident memory, how long what was just read had waited."""
+"""Values from the operating system: CPU time, resident memory, time since a connection received data."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 class Socket(Protocol):
-    """A connection's socket, also as asyncio's and uvloop's transports hand it out."""
+    """The socket of a connection, or the wrapper that the transports of asyncio and uvloop return."""
 
     def getsockopt(self, level: int, optname: int, buflen: int, /) -> bytes: ...
 
 
 def cpu_used_us() -> int:
-    """CPU time of the process so far, user and system, all threads, in microseconds."""
+    """CPU time that the process has used, user and system, of all threads, in microseconds."""
     return time.process_time_ns() // 1000
 
 
 def memory_bytes() -> int:
-    """Resident memory in bytes; where /proc cannot be read, the most that it has been (getrusage)."""
+    """Resident memory in bytes; if /proc cannot be read, its maximum so far (getrusage)."""
     try:
         with open("/proc/self/statm", "rb") as statm:
             return int(statm.read().split()[1]) * _PAGE_BYTES
@@ -37,10 +37,10 @@
 
 
 def since_last_receive_us(connection: Socket) -> int:
-    """How long ago, at most, the last bytes came in on a TCP connection; 0 if that is not told.
+    """Upper bound of the time since a TCP connection last received bytes; 0 if it is not available.
 
-    Linux only, in whole milliseconds.  It costs 1.4 us on asyncio and 3.4 us on uvloop: ask where the pulse
-    shows that the loop was late, as what is read then may have come at any time in the pause.
+    Linux only, in whole milliseconds.  It costs 1.4 us on asyncio and 3.4 us on uvloop: call it only if the
+    loop was late, as the bytes read then may have arrived at any time during the delay.
     """
     try:
         info = connection.getsockopt(socket.IPPROTO_TCP, _TCP_INFO, _LAST_DATA_RECV.size)
--- a/roadlb/own_load.py
+++ b/roadlb/own_load.py
@@ -1,4 +1,4 @@
-"""Watches the program's own load: beats on the loop, reads the meter, has the module shed when short."""
+"""Watches the load of this process: reads loop delay and resource usage, and sets the share to shed."""
 
 from __future__ import annotations
 
@@ -16,16 +16,20 @@
 
 logger = logging.getLogger(__name__)
 
-# What a refusal costs of a served request, by benchmarks/data_path.py: 0.49 to 0.67 at 400 to 4,000 a second,
-# of which the kernel's part alone is a fifth.
+# The cost of a refusal as a part of that of a served request.  benchmarks/data_path.py shows 0.49 to 0.67 at
+# 400 to 4,000 requests per second; the kernel's part alone is a fifth.
 REFUSAL_COST = 0.5
-# Of less it is not worth asking the kernel, which costs 3 us a read where the loop is always a little late.
+# A smaller delay does not justify asking the kernel, which costs 3 us per read on a loop that is always a
+# little late.
 MIN_KERNEL_QUERY_DELAY_US = 20_000
 
 
 class OwnLoad:
-    """`aim_us` is the shortest aim of a class; `descriptors` counts those that are open; `tighten` hears when
-    memory or descriptors become short, and when that is over."""
+    """Measures the load of this process every READING_INTERVAL_US and tells the engine what share to shed.
+
+    `aim_us` is the shortest aim of a class; `descriptors` returns the number of open ones; `on_tighten` is
+    called with True when memory or descriptors become short, and with False when they no longer are.
+    """
 
     def __init__(
         self,
@@ -49,19 +53,19 @@
         self._next_reading_at, self._beat_timer = now + READING_INTERVAL_US, self._loop.call_soon(self._beat)
 
     def earliest_arrival_us(self, transport: asyncio.Transport) -> int:
-        """The earliest moment at which bytes read now from this transport may have come, on the clock."""
+        """The earliest clock time at which bytes read now from this transport can have arrived."""
         now = self._clock()
         arrival = self._loop_monitor.earliest_arrival_us(now)
         if now - arrival < MIN_KERNEL_QUERY_DELAY_US:
             return now
-        # The loop was late: ask the kernel, as most bytes came a moment ago.
+        # The loop was late: ask the kernel, as most bytes have arrived only just now.
         tcp_socket = transport.get_extra_info("socket")
         if tcp_socket is not None and (ago_us := since_last_receive_us(tcp_socket)):
             return max(arrival, now - ago_us)
         return arrival
 
     def late_us(self) -> int:
-        """How long ago what is handled now may have come: 0 on a sound loop."""
+        """How long ago the data handled now may have arrived: 0 if the loop is not late."""
         now = self._clock()
         return now - self._loop_monitor.earliest_arrival_us(now)
 
@@ -83,7 +87,7 @@
                 self._on_tighten(action.on)
 
     def figures(self) -> dict[str, float]:
-        """The last reading and what is shed for it, under the names that operators see."""
+        """The last reading and the shed share, under their metric names."""
         reading = self._reading
         return {
             "overload.shed_share": self._controller.share,
--- a/roadlb/sites/__init__.py
+++ b/roadlb/sites/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a site and what its loss asks of a balancer: no I/O, times in microseconds of one clock."""
+"""Tracks the state of each site and how a balancer reacts to losing one; no I/O, times in microseconds."""
--- a/roadlb/sites/events.py
+++ b/roadlb/sites/events.py
@@ -1,4 +1,7 @@
-"""What `roadlb.sites.life.Sites` is told and what it answers.  A site is a hall, by its number."""
+"""Input events and resulting actions of `roadlb.sites.state_machine.Sites`.
+
+A site is a zone, given by its number.
+"""
 
 from __future__ import annotations
 
@@ -9,20 +12,20 @@
 
 
 class State(Enum):
-    """How a site stands with this balancer; `life.STEPS` has how it gets from one to another."""
+    """The state of a site as this balancer sees it; the transitions are listed in `state_machine`."""
 
     WHOLE = "whole"
-    DOUBTFUL = "doubtful"  # some of its servers are silent, and none has answered since
-    LOST = "lost"  # nothing is sent there but a trial now and then
-    RETURNING = "returning"  # it answers again, and takes load in steps
+    DOUBTFUL = "doubtful"  # some of its servers do not answer, and none has answered since
+    LOST = "lost"  # nothing is sent there except an occasional trial
+    RETURNING = "returning"  # it answers again, and its load is raised in steps
     OUT = "out"  # an operator has taken it out of service
 
 
 @dataclass(slots=True, frozen=True)
 class ServersListed:
-    """The server list has changed: of each site, its servers that are up, with the clock time of their start.
+    """The server list has changed: the servers that are up in each site, with the clock time of their start.
 
-    A start of 0 is long ago, or not known.
+    A start time of 0 means long ago, or unknown.
     """
 
     sites: Mapping[int, Mapping[bytes, int]]
@@ -30,8 +33,8 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerAnswered:
-    """A server has answered, whatever it said, after `took_us`; an `order` if it was a request that may
-    not be repeated."""
+    """A server has sent any answer, `took_us` after the request; `order`: the request may not be
+    repeated."""
 
     site: int
     server: bytes
@@ -41,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptFailed:
-    """An attempt at a server never came up, broke, or was not answered in time."""
+    """An attempt at a server could not connect, was cut off, or was not answered in time."""
 
     site: int
     server: bytes
@@ -50,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestSent:
-    """A request goes to a server of the site."""
+    """A request is being sent to a server of the site."""
 
     site: int
     server: bytes = b""
@@ -59,22 +62,24 @@
 
 @dataclass(slots=True, frozen=True)
 class TakeOut:
-    """An operator's word: nothing new goes to this site."""
+    """An operator's command: send nothing new to this site."""
 
     site: int
 
 
 @dataclass(slots=True, frozen=True)
 class PutIn:
-    """An operator's word: the site is to take load again, in steps."""
+    """An operator's command: let the site take load again, in steps."""
 
     site: int
 
 
 @dataclass(slots=True, frozen=True)
 class ReportedSilent:
-    """Since this clock time the site does not answer others, who ask it as this balancer could have done;
-    they say so until then."""
+    """Other balancers report that the site has not answered them since `since_us`.
+
+    They send it requests as this balancer would.  The report holds until `until_us`; both are clock times.
+    """
 
     site: int
     since_us: int
@@ -83,7 +88,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """Once a second, whatever happens."""
+    """Sent once a second."""
 
 
 Event: TypeAlias = (
@@ -93,7 +98,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StateChanged:
-    """A site is in another state now; `cause` is for a person."""
+    """A site has changed its state; `cause` is a text for people."""
 
     site: int
     before: State
@@ -106,7 +111,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandRejected:
-    """An operator's word that is not followed, and why."""
+    """An operator's command that was rejected, and why."""
 
     site: int
     cause: str
@@ -117,7 +122,10 @@
 
 @dataclass(slots=True, frozen=True)
 class OrderAvoidanceChanged:
-    """Requests that may not be repeated keep away from the site now, or go there again; why, for a person."""
+    """Requests that may not be repeated now avoid the site, or go there again.
+
+    `cause` is a text for people.
+    """
 
     site: int
     away: bool
@@ -132,14 +140,14 @@
 
 @dataclass(slots=True, frozen=True)
 class SiteView:
-    """What is believed of one site.  `share`, 0..1: the part of its usual load that it may take now."""
+    """The state of one site.  `share`, 0..1: the part of its usual load that it may take now."""
 
     site: int
     state: State
     share: float
     servers: int
-    silent: int  # servers that failed since the last answer from any
-    since_us: int  # clock time of the last change of state
-    relapses: int  # losses during or soon after a return, in a row
+    silent: int  # servers that have failed since the last answer from any of them
+    since_us: int  # clock time of the last state change
+    relapses: int  # consecutive losses during or soon after a return
     last_answer_us: int = -1  # clock time of its last answer; -1: never
-    orders_away: bool = False  # it answers other requests, and orders keep away
+    orders_away: bool = False  # it answers other requests, but orders avoid it
--- a/roadlb/sites/forecast.py
+++ b/roadlb/sites/forecast.py
@@ -1,7 +1,7 @@
-"""What the loss of sites does to a deployment: arithmetic on capacities, demand and the order of refusal.
+"""Forecasts what the loss of sites does to a deployment, from capacities, demand and the order of refusal.
 
-It knows no queues and no moment: each figure is what is left when all has settled.  Work is in seconds of a
-standard core, rates are per second.  What caches save is told, or foretold by `hit_share`.
+Queues and transients are not modelled: each figure is for the steady state.  Work is in seconds of a standard
+core, rates are per second.  What caches save is given by the caller, or estimated by `hit_share`.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from .state_machine import RETURN_STEPS, RETURN_STEP_US
 from .refusal import RefusalOrder
 
-USABLE_SHARE = 0.92  # of a node's capacity carries work in time; beyond it, queues grow
-LIMIT_SHARPNESS = 10  # how sharply service bends at the limit: higher is sharper
-MIN_BORNE_WORTH = 0.99  # of the worth; less than all, as chance refuses a little near the limit
+USABLE_SHARE = 0.92  # of a server's capacity, up to which work is done in time; beyond it queues grow
+LIMIT_SHARPNESS = 10  # of the bend where demand reaches capacity: higher is sharper
+MIN_BORNE_WORTH = 0.99  # share of the worth; below 1, as random demand near the limit has a little refused
 US_PER_S = 1_000_000
-MAX_RETURN_S = 600.0  # a return that takes longer is told as none
-SERVERS_PER_KEY = 8.0  # nodes among which requests for one key spread: a balancer looks at its first 8
+MAX_RETURN_S = 600.0  # a longer return is reported as none
+SERVERS_PER_KEY = 8.0  # servers among which requests for one key spread: a balancer considers its first 8
 
 
 @dataclass(slots=True, frozen=True)
 class SiteCapacity:
-    """One site: its warm capacity, in standard cores, and how its nodes start."""
+    """One site: its capacity after slow start, in standard cores, and the slow start of its servers."""
 
     name: str
     server_count: int
@@ -35,8 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Demand:
-    """Requests of one class by one customer, within its share or beyond; `rank`: the lowest is refused
-    first."""
+    """Requests of one class by one tenant, within its quota or beyond; the lowest `rank` is refused first."""
 
     name: str
     tenant: str
@@ -48,11 +47,12 @@
 
 
 def hit_share(key_shares: Sequence[float], per_s: float, cache_capacity: float, retention_s: float) -> float:
-    """Of requests with these keys, the share that meet a node which has the key cached.
+    """The share of the requests that reach a server which has their key cached.
 
-    `parts`: of the requests, by key; `room`: keys that all nodes hold together; a node forgets a key that was
-    not served for `remember_s`.  After Che, Tung and Wang (2002): a key stays for one time, the same for all
-    keys, in which the caches fill; each key is asked for at `HOMES` nodes alike.
+    `key_shares`: of the requests, by key; `cache_capacity`: keys that all servers hold together; a server
+    drops a key that was not requested for `retention_s`.  After Che, Tung and Wang (2002): every key stays
+    cached for the same time, in which the caches fill; the requests for a key spread evenly over
+    SERVERS_PER_KEY servers.
     """
 
     def cached_keys(residence_s: float) -> float:
@@ -74,16 +74,18 @@
 def first_try_rank(
     refusals: RefusalOrder, class_index: int, tenant: int, over_share: bool, worth: float
 ) -> int:
-    """The rank of a first try with a key that is not cached."""
+    """The rank of a first try whose key is not cached."""
     return refusals.rank(worth, class_index, tenant, over_share, False, False)
 
 
 @dataclass(slots=True, frozen=True)
 class LossForecast:
-    """When these sites are lost.  `load`: work asked of what remains, over what it can carry, by site;
-    `kept`: of each demand, the share that is served; `worth`: the share of all worth that is served;
-    `back_95_s` and `back_98_s`: from the nodes' start until so much of the usual worth is served again,
-    None: not in LONGEST_S."""
+    """The effect of losing the sites `lost`.
+
+    `load`: work offered to each remaining site over what it can carry; `kept`: the served share of each
+    demand; `worth`: the served share of all worth; `back_95_s` and `back_98_s`: time from the start of the
+    lost sites' servers until 95% and 98% of the usual worth is served again; None: not within MAX_RETURN_S.
+    """
 
     lost: tuple[str, ...]
     load: dict[str, float]
@@ -94,11 +96,11 @@
 
     @property
     def borne(self) -> bool:
-        """Is next to nothing refused?"""
+        """Whether next to nothing is refused."""
         return self.worth >= MIN_BORNE_WORTH
 
     def refused_worth(self, by: Callable[[Demand], str]) -> dict[str, tuple[float, float]]:
-        """(worth asked for, worth refused) a second, of each class, customer or other word of a demand."""
+        """(worth offered, worth refused) per second, by class, tenant or another property of a demand."""
         totals: dict[str, tuple[float, float]] = {}
         for demand, share in self.kept.items():
             offered, refused = totals.get(by(demand), (0.0, 0.0))
@@ -108,8 +110,11 @@
 
 
 def served_work(capacity: float, work: float) -> float:
-    """What this capacity does of so much work.  Demand comes by chance, so that near the limit a part is
-    refused in some seconds while others have room.  Far below it does all, far above `USABLE` of itself."""
+    """The part of `work` that this capacity carries.
+
+    Demand is random, so that near the limit a part is refused in some seconds while others have capacity
+    left.  Far below the limit all work is carried, far above it USABLE_SHARE of the capacity.
+    """
     usable = capacity * USABLE_SHARE
     if not usable or not work:
         return 0.0
@@ -118,8 +123,10 @@
 
 
 def served_shares(capacity: float, demands: Sequence[Demand]) -> dict[Demand, float]:
-    """The share of each demand that this capacity carries: what is refused last is served first; within one
-    rank all are served alike."""
+    """The share of each demand that this capacity carries.
+
+    What is refused last is served first; all demands of one rank are served alike.
+    """
     remaining, kept = served_work(capacity, sum(d.per_s * d.work_s for d in demands)), dict[Demand, float]()
     for rank in sorted({d.rank for d in demands}, reverse=True):
         same_rank = [d for d in demands if d.rank == rank]
@@ -131,7 +138,7 @@
 
 
 def worth_share(kept: dict[Demand, float]) -> float:
-    """The share of all worth asked for that is served."""
+    """The share of all offered worth that is served."""
     offered = sum(d.per_s * d.worth for d in kept)
     return sum(d.per_s * d.worth * share for d, share in kept.items()) / offered if offered else 1.0
 
@@ -139,7 +146,11 @@
 def forecast_loss(
     sites: Sequence[SiteCapacity], demands: Sequence[Demand], lost: Sequence[str], discovery_delay_s: float
 ) -> LossForecast:
-    """`told_s`: from a node's start until balancers are told of it.  ValueError for a site there is not."""
+    """The effect of losing the sites `lost`.
+
+    `discovery_delay_s`: from the start of a server until balancers have it in their list.  ValueError for an
+    unknown site.
+    """
     unknown = set(lost) - {site.name for site in sites}
     if unknown:
         raise ValueError(f"there is no site {', '.join(sorted(unknown))}")
@@ -169,7 +180,7 @@
 
 
 def returned_capacity(lost_sites: Sequence[SiteCapacity], at_s: float, discovery_delay_s: float) -> float:
-    """The capacity that returning sites give, so long after their nodes started."""
+    """The capacity of returning sites, `at_s` after the start of their servers."""
     if at_s < discovery_delay_s:
         return 0.0
     step = int((at_s - discovery_delay_s) * US_PER_S / RETURN_STEP_US)
@@ -184,7 +195,7 @@
 def forecast_losses(
     sites: Sequence[SiteCapacity], demands: Sequence[Demand], discovery_delay_s: float
 ) -> list[LossForecast]:
-    """None, each site and each pair lost, as long as one remains."""
+    """The effects of losing no site, each site and each pair, as long as one site remains."""
     names = [site.name for site in sites]
     lost_sets: list[tuple[str, ...]] = [()]
     for count in (1, 2):
@@ -196,7 +207,7 @@
 def worth_curve(
     sites: Sequence[SiteCapacity], demands: Sequence[Demand], lost: Sequence[str], factors: Sequence[float]
 ) -> list[float]:
-    """Worth served a second when so many times the demand is asked."""
+    """The worth served per second at each of these multiples of the demand."""
     capacity = sum(site.capacity for site in sites if site.name not in lost)
     totals = []
     for factor in factors:
--- a/roadlb/sites/refusal.py
+++ b/roadlb/sites/refusal.py
@@ -1,10 +1,11 @@
-"""What is refused first: the operators' plan, or else what is worth least, alike on every balancer.
-
-A plan is a list of lines, the first refused first.  A request belongs to the first line that all of its
-words fit; one that fits none is refused last.  Without a plan requests rank by their worth, repeats a little
-lower.  The share of the demand that is to go is taken from the lowest ranks on, by what was asked lately in
-each; within the rank where it ends the request's key decides, so that at the same shortage a client who is
-refused by one balancer is refused by the next, and what is served stays the same and cached.
+"""The order in which requests are refused, the same on every balancer: by the operators' plan or by worth.
+
+A plan is a list of lines; requests of the first line are refused first.  A request belongs to the first line
+whose conditions it meets; one that matches no line is refused last.  Without a plan requests rank by their
+worth, repeats a little lower.  The share of the demand to refuse is taken from the lowest ranks up, according
+to the recent demand in each.  Within the rank where that share ends the request's key decides: at the same
+shortage a client refused by one balancer is then refused by the next one too, and the keys that are served
+stay the same, and cached.
 """
 
 from __future__ import annotations
@@ -13,20 +14,23 @@
 from dataclasses import dataclass
 from math import log2
 
-RANKS = 64  # a plan has fewer lines than this
-REPEAT_WORTH_FACTOR = 0.8  # of a first try's worth ranks a repeat: what has timed out is likelier to be long
-DECAY_PER_S = 0.8  # of what was asked in each rank counts a second later
+RANKS = 64  # a plan must have fewer lines than this
+REPEAT_WORTH_FACTOR = 0.8  # on a repeat's worth: a request that has timed out is more likely to be long
+DECAY_PER_S = 0.8  # the weight that the requests of a second keep a second later
 
 
 @dataclass(slots=True, frozen=True)
 class PlanLine:
-    """Which requests: each word that is None fits all.  Numbers are those of classes and tenants."""
+    """The requests of one line of the plan: a condition that is None matches all of them.
+
+    Classes and tenants are given by their numbers.
+    """
 
     class_index: int | None = None
     tenant: int | None = None
-    over_share: bool | None = None  # of a customer beyond its share, or one within
-    repeat: bool | None = None  # marked as asked before, or not
-    warm_key: bool | None = None  # with a key served lately, which is likely to be cached; or not
+    over_share: bool | None = None  # of a tenant beyond its share, or within it
+    repeat: bool | None = None  # marked by the client as a repeat, or not
+    warm_key: bool | None = None  # with a recently served key, which is likely to be cached; or not
 
     def matches(self, class_index: int, tenant: int, over_share: bool, repeat: bool, warm_key: bool) -> bool:
         return (
@@ -39,7 +43,7 @@
 
 
 class RefusalOrder:
-    """What one balancer was asked for lately, by rank, and so who goes."""
+    """One balancer's recent demand by rank, from which it follows which requests are refused."""
 
     __slots__ = ("plan", "request_count", "requests_by_rank")
 
@@ -48,9 +52,9 @@
         self.set_plan(plan)
 
     def set_plan(self, plan: Sequence[PlanLine]) -> None:
-        """Ranks mean something else from now on: what was counted in each is dropped.
+        """Replace the plan and drop the counts, as ranks have another meaning now.
 
-        The same share goes from the first request on, at first by chance rather than by rank.
+        The right share is refused from the first request on, at first by chance rather than by rank.
         """
         if len(plan) >= RANKS:
             raise ValueError(f"refusal.plan: {len(plan)} lines; at most {RANKS - 1}")
@@ -60,7 +64,7 @@
     def rank(
         self, worth: float, class_index: int, tenant: int, over_share: bool, repeat: bool, warm_key: bool
     ) -> int:
-        """0..RANKS-1; the lowest goes first.  `worth` decides where there is no plan."""
+        """The request's rank, 0..RANKS-1; the lowest is refused first.  Without a plan `worth` decides."""
         if not self.plan:
             return min(
                 RANKS - 1, max(0, int(32 + 4 * log2(worth * (REPEAT_WORTH_FACTOR if repeat else 1) + 1e-6)))
@@ -71,25 +75,28 @@
         return RANKS - 1
 
     def count_request(self, rank: int) -> None:
-        """A request of this rank has come."""
+        """Count a request of this rank."""
         self.requests_by_rank[rank] += 1
         self.request_count += 1
 
     def is_refused(self, rank: int, tie_break: float, share: float) -> bool:
-        """Does it go if this share of the demand, 0..1, goes?  `luck`, 0..1, orders equals."""
+        """Whether to refuse it when `share`, 0..1, of the demand is refused.
+
+        `tie_break`, 0..1, decides between requests of one rank.
+        """
         return (
             sum(self.requests_by_rank[:rank]) + tie_break * self.requests_by_rank[rank]
             < share * self.request_count
         )
 
     def decay(self) -> None:
-        """Once a second."""
+        """Decay the counts; to be called once a second."""
         self.requests_by_rank = [count * DECAY_PER_S for count in self.requests_by_rank]
         self.request_count = sum(self.requests_by_rank)
 
 
 class QuotaUsage:
-    """What customers ask of one of `parts` balancers, against their shares of the whole."""
+    """The request rates of tenants at this balancer, compared with its part of their quotas."""
 
     __slots__ = ("_quotas", "_rates", "counts")
 
@@ -99,20 +106,23 @@
 
     @property
     def rates(self) -> tuple[float, ...]:
-        """Requests a second of each customer, on the mean of late."""
+        """Recent mean of each tenant's requests per second."""
         return tuple(self._rates)
 
     def count_request(self, tenant: int) -> None:
-        """A request of this customer has come."""
+        """Count a request of this tenant."""
         if tenant < len(self.counts):
             self.counts[tenant] += 1
 
     def exceeds_quota(self, tenant: int, divisor: float, tie_break: float) -> bool:
-        """Is this request beyond its customer's share?  `luck`, 0..1, spreads the excess over all of them."""
+        """Whether this request is beyond its tenant's quota, of which one `divisor`-th is this balancer's.
+
+        `tie_break`, 0..1, spreads the excess over all requests of the tenant.
+        """
         return tenant < len(self._rates) and self._rates[tenant] * tie_break > self._quotas[tenant] / divisor
 
     def decay(self) -> None:
-        """Once a second."""
+        """Update the rates; to be called once a second."""
         self._rates = [
             rate * DECAY_PER_S + count * (1 - DECAY_PER_S)
             for rate, count in zip(self._rates, self.counts, strict=True)
--- a/roadlb/sites/state_machine.py
+++ b/roadlb/sites/state_machine.py
@@ -1,62 +1,76 @@
-"""The life of a site: told from servers that fail one by one, tried, and taken back in steps.
-
-A hall's forty servers would each be found out by itself, by requests that wait for a dial or an answer that
-never comes; their lateness would be taken for too much work.  And a hall that is back would get either
-nothing, since nobody chooses it, or everything at once.  Its life as one table, each line with its reason:
-
-    from       what happens                         to         reason
-    whole      DOUBT servers fail, none answers     doubtful   orders keep away: what they lose stays lost
-    doubtful   any server answers                   whole      slow by overload is not lost: answers prove it
-    doubtful   LOSS servers fail, another site has  lost       failures alike everywhere are our own link's:
-               answered since the first, and this one          no site is lost on what holds for all; and one
-               is unheard for QUIET_US, or for                 that answered just now is slow, as is one
-               QUIET_TIMES its slowest answer of               whose answers took long before it fell
-               late, QUIET_MOST_US at the most                 silent: its silence has to be longer
-    doubtful   it fails again after DOUBT_US, while lost       what has failed is avoided one by one: a third
-               another has answered; as quiet                  server might never be asked
-    doubtful   a trial's time has come              (a trial)  as when lost: an answer is all that is needed
-    whole,     others have had no answer from it    doubtful,  they have asked it: what would be sent there
-    doubtful   since this one's last, and another   by trials  would wait for nothing.  On their word alone
-               site is whole                        only       it is never lost; the first trial is at once
-    the same   a server answers                     whole      or, after SHORT_US, returning: what has had
-                                                               nothing for long may be cold
-    doubtful   their word is over, and fewer than   whole      so does the word's age
-               DOUBT servers have failed here
-    lost       a trial's time has come, or the list (a trial)  nobody would choose a site that looks dead; one
-               has a newer start of a server                   request that may be repeated is sent to ask
-    lost       a server answers                     returning  whole, if it was gone for less than SHORT_US
-    returning  STEP_ANSWERS in STEP_US, none missed (a step)   what it has proved, it may have more of; the
-                                                               last step makes it whole
-    returning  DOUBT servers fail, none answers     lost       a relapse: the next trial waits twice as long,
-                                                               so that a site that flaps is left alone
-    whole      lost within STEADY_US of its return  lost       a relapse as well: it flaps more slowly
-    doubtful   those that failed leave the list,    whole      who drains or restarts fails for a reason of
-               or start anew                                   its own, and says nothing of its site
-    any        LOSS attempts overtaken by copies,   (a trial)  one in KEEP_US runs to its end: lost and slow
-               none answers for QUIET_US                       look alike to one who calls all of them off
+"""The state machine of a site: detected from servers that fail one by one, tried, and taken back in steps.
+
+Without it, each of the forty servers of a lost zone would be detected by itself, by requests that wait for a
+connection or for an answer that never comes, and their delay would be taken for overload.  A zone that comes
+back would get either nothing, since nobody chooses it, or its whole load at once.  The transitions, each with
+its reason:
+
+    from       event                                to         reason
+    whole      DOUBT_FAILURES servers fail, none    doubtful   orders avoid it, as a lost order cannot be
+               answers                                         repeated
+    doubtful   any server answers                   whole      a site that is slow by overload is not lost, as
+                                                               its answers prove
+    doubtful   LOSS_FAILURES servers fail, another  lost       if all sites fail alike, this balancer's own
+               site has answered since the first,              link has failed and no site is lost; a site
+               and this one has not answered for               that answered just now is slow, and one whose
+               MIN_SILENCE_US or, if longer,                   answers took long before it fell silent has to
+               SILENCE_LATENCY_MULTIPLE times its              be silent for longer
+               slowest recent answer, but no more
+               than MAX_SILENCE_US
+    doubtful   it fails again after MAX_DOUBT_US,   lost       failed servers are avoided one by one, so a
+               with another site answering and the             third server might never be asked
+               same silence
+    doubtful   a trial is due                       (a trial)  as when lost: a single answer is enough
+    whole,     other balancers report that it has   doubtful,  they have sent it requests: what would be sent
+    doubtful   not answered since its last answer   trials     there would only wait.  Their reports alone
+               here, and another site is whole      only       never make it lost; the first trial is at once
+    the same   a server answers                     whole      or, after SHORT_OUTAGE_US, returning: servers
+                                                               without load for long may need a slow start
+    doubtful   the reports have expired, and fewer  whole      its state expires with the reports
+               than DOUBT_FAILURES servers have
+               failed here
+    lost       a trial is due, or the list has a    (a trial)  no request would choose a site that looks dead,
+               newer start of a server                         so one that may be repeated is sent as a trial
+    lost       a server answers                     returning  whole, if it was lost for less than
+                                                               SHORT_OUTAGE_US
+    returning  RETURN_STEP_ANSWERS answers in       (a step)   a site that carries one step can be given the
+               RETURN_STEP_US, no failure                      next; the last step makes it whole
+    returning  DOUBT_FAILURES servers fail, none    lost       a relapse: the next trial waits twice as long,
+               answers                                         so that a flapping site is left alone
+    whole      lost within STABLE_US of its return  lost       a relapse as well, of a site that flaps more
+                                                               slowly
+    doubtful   the failed servers leave the list,   whole      servers that drain or restart fail for reasons
+               or restart                                      of their own, which say nothing of the site
+    any        hedges answer before LOSS_FAILURES   (a trial)  every KEPT_ATTEMPT_INTERVAL_US one attempt runs
+               attempts, no answer for                         to its end: a lost and a slow site look alike
+               MIN_SILENCE_US                                  if every attempt is cancelled
     any        an operator takes it out             out        nothing new goes there, whatever it answers
     out        an operator puts it in               returning  from the first step, as after a loss
     returning  all its servers leave the list       returning  from the first step once they are listed again:
-                                                               what is back for a moment has proved nothing
-
-Beside its state, whether orders keep away: a site may answer what is cheap and let each order hang, and then
-any answer would clear the doubt that orders have raised, again and again:
-
-    orders     what happens                         orders     reason
-    go there   LOSS servers fail orders, none has   keep away  an answer to what is cheap is no evidence for
-               been answered since the first nor               orders.  What fails everywhere is our own
-               for QUIET_US, but other requests,               link's or the orders' fault, and one that
-               and orders at another site                      answers nothing is the table's above
-    keep away  a trial's time has come              (a trial)  one order at a time, and only one that would go
-                                                               there anyway: what it loses stays lost
-    keep away  the trial fails                      keep away  the next waits twice as long
-    keep away  an order is answered                 go there   that is all that was missing
-    keep away  fewer than DOUBT of those that       go there   as above, who drains or restarts says nothing
-               failed are left as they were                    of its site
-    any        it is lost and answers again, or an  go there   failures before a loss were its own; what kept
-               operator puts it in                             orders away before it still does
-
-A site with fewer than LOSS servers listed is not judged as a site: its servers are ejected one by one.
+                                                               a site that was back for a moment has proved
+                                                               nothing
+
+A second state decides whether orders avoid a site.  A site may answer cheap requests while every order hangs,
+and then any answer would clear the doubt that orders have raised, again and again:
+
+    orders     event                                orders     reason
+    go there   LOSS_FAILURES servers fail orders;   avoid it   an answer to a cheap request is no evidence
+               no order has been answered since                about orders.  If orders fail everywhere, this
+               the first nor for MIN_SILENCE_US,               balancer's link or the orders are at fault; a
+               but other requests have, and orders             site that answers nothing is covered by the
+               at another site                                 table above
+    avoid it   a trial is due                       (a trial)  one order at a time, and only one that would go
+                                                               there anyway, as an order that is lost cannot
+                                                               be repeated
+    avoid it   the trial fails                      avoid it   the next waits twice as long
+    avoid it   an order is answered                 go there   the evidence that was missing
+    avoid it   fewer than DOUBT_FAILURES of the     go there   as above, servers that drain or restart say
+               failed servers are still listed                 nothing of their site
+               with the same start
+    any        it is lost and answers again, or an  go there   failures before a loss were part of the loss;
+               operator puts it in                             what made orders avoid it before still counts
+
+A site with fewer than LOSS_FAILURES listed servers has no state: its servers are ejected one by one.
 """
 
 from __future__ import annotations
@@ -80,26 +94,27 @@
     TakeOut,
 )
 
-# servers of a site that have failed, with no answer from any of it meanwhile
+# Failed servers of a site, with no answer from any of its servers in between.
 DOUBT_FAILURES, LOSS_FAILURES = 2, 3
-MAX_DOUBT_US = 1_500_000  # so long it may be in doubt: then one more failure is enough
-TRIAL_INTERVAL_US = 1_000_000  # between two requests that try a lost or doubtful site
-REQUESTS_PER_TRIAL = 20  # and between two trials at least so many requests of this balancer
-MAX_TRIAL_INTERVAL_US = 8_000_000  # the same for one that relapses again and again
-# unheard for so long; between attempts that then run to their end
+MAX_DOUBT_US = 1_500_000  # after this time in doubt one more failure is enough for a loss
+TRIAL_INTERVAL_US = 1_000_000  # between two trials of a lost or doubtful site
+REQUESTS_PER_TRIAL = 20  # and at least so many requests of this balancer between two trials
+MAX_TRIAL_INTERVAL_US = 8_000_000  # between two trials of a site that relapses again and again
+# Time without an answer; time between attempts that then run to their end although a hedge was answered.
 MIN_SILENCE_US, KEPT_ATTEMPT_INTERVAL_US = 1_000_000, 250_000
-SILENCE_LATENCY_MULTIPLE, MAX_SILENCE_US = 4, 3_000_000  # or for so often its slowest answer, and at the most
-SLOWEST_ANSWER_WINDOW_US = 5_000_000  # a slowest answer is of late for so long
-SHORT_OUTAGE_US = 1_000_000  # lost for less than this, it is whole with its first answer: nothing is cold
-RETURN_STEP_US = 500_000  # a step of the return takes at least this long ...
-RETURN_STEP_ANSWERS = 2  # ... and so many answers
-RETURN_STEPS = (0.25, 0.5)  # shares of its usual load, on the way back
-STABLE_US = 10_000_000  # whole for this long: earlier losses and relapses are forgotten
-MAX_SITES = 256  # beyond them, a site is always whole
+# The silence needed for a loss as a multiple of the slowest recent answer, and its upper limit.
+SILENCE_LATENCY_MULTIPLE, MAX_SILENCE_US = 4, 3_000_000
+SLOWEST_ANSWER_WINDOW_US = 5_000_000  # how long the slowest answer is remembered
+SHORT_OUTAGE_US = 1_000_000  # after a shorter loss the first answer makes it whole: no slow start is needed
+RETURN_STEP_US = 500_000  # minimum length of a step of the return
+RETURN_STEP_ANSWERS = 2  # answers needed in each step
+RETURN_STEPS = (0.25, 0.5)  # the shares of its usual load in the steps of a return
+STABLE_US = 10_000_000  # after being whole for this long its earlier losses and relapses are forgotten
+MAX_SITES = 256  # further sites are not tracked and always count as whole
 
 
 class Site:
-    """One site as this balancer sees it."""
+    """What this balancer knows of one site."""
 
     __slots__ = (
         "allowance",
@@ -135,41 +150,42 @@
 
     def __init__(self, number: int) -> None:
         self.number, self.state, self.state_since_us = number, State.WHOLE, 0
-        self.failed_servers: set[bytes] = set()  # failed since the last answer from any; LOSS at the most
+        self.failed_servers: set[bytes] = set()  # since the last answer from any; at most LOSS_FAILURES
         self.servers: Mapping[bytes, int] = {}
-        self.newest_start_us = 0  # the newest start among its servers
+        self.newest_start_us = 0  # the latest start among its servers
         self.next_trial_us, self.relapses = 0, 0
-        self.recovered_us = -STABLE_US  # whole again after a loss since then
+        self.recovered_us = -STABLE_US  # when it last became whole after a loss
         self.step, self.step_at_us, self.step_answers = 0, 0, 0
-        self.usual_rate = 0.0  # requests a second that it would get, were it whole
-        self.allowance, self.allowance_at_us = 0.0, 0  # of them, what it may still take on its return
-        self.last_answer_us, self.failing_since_us = -1, 0  # its last answer; the first failure since
-        self.slowest_answer_us, self.slowest_answer_seen_us = 0, 0  # its slowest answer of late, us, and when
-        self.hedge_wins, self.next_kept_attempt_us = 0, 0  # attempts since then whose copies were quicker
-        self.reported_until_us = 0  # until then others say that it does not answer
-        self.order_failed_servers: set[bytes] = set()  # at these, and none answered since; LOSS at the most
-        # the first of them; the last answer to an order
+        self.usual_rate = 0.0  # requests a second that it would get if it were whole
+        self.allowance, self.allowance_at_us = 0.0, 0  # requests that it may still take during its return
+        self.last_answer_us, self.failing_since_us = -1, 0  # its last answer; the first failure after it
+        self.slowest_answer_us, self.slowest_answer_seen_us = 0, 0  # its slowest recent answer, and when
+        # Attempts since the last answer whose hedge was answered first; the next one that runs to its end.
+        self.hedge_wins, self.next_kept_attempt_us = 0, 0
+        self.reported_until_us = 0  # until then other balancers report it as silent
+        self.order_failed_servers: set[bytes] = set()  # with no order answered since; at most LOSS_FAILURES
+        # The first of these failures; the last answer to an order.
         self.orders_failing_since_us, self.last_order_answer_us = 0, -1
-        self.orders_away = False  # orders keep away, but for a trial in turn ...
-        # ... from then on; the server that one is at
+        self.orders_away = False  # orders avoid it, except for occasional trials
+        # The time of the next of these trials; the server of the current one.
         self.next_order_trial_us, self.order_trial_server = 0, b""
         self.failed_order_trials = 0
 
 
 class Sites:
-    """Decides for one balancer: `handle(now, event) -> actions`.
+    """The sites as one balancer sees them: `handle(now, event) -> actions`.
 
-    What happens for each request has methods of its own, `answered`, `missed` and `sent`, which `handle`
-    calls, and whose actions gather in `decided` until `take` gives them, as do those of `tell`; `shut`, `due`
-    and `view` change nothing.
+    The events of each request have methods of their own, `on_answered`, `on_failed` and `on_sent`,
+    which `handle` calls.  Their actions and those of `process` are collected in `pending_actions` until
+    `take_actions` returns them.  `is_closed`, `due_trial` and `view` change nothing.
     """
 
     __slots__ = ("_order_avoided_sites", "_suspect_sites", "pending_actions", "sites", "trial_interval_us")
 
     def __init__(self) -> None:
         self.sites: dict[int, Site] = {}
-        self._suspect_sites: dict[int, Site] = {}  # those that are not whole, or have a silent server
-        self._order_avoided_sites: dict[int, Site] = {}  # those that orders keep away from
+        self._suspect_sites: dict[int, Site] = {}  # sites that are not whole, or have a failed server
+        self._order_avoided_sites: dict[int, Site] = {}  # sites that orders avoid
         self.pending_actions: list[Action] = []
         self.trial_interval_us = TRIAL_INTERVAL_US
 
@@ -178,7 +194,7 @@
         return self.take_actions()
 
     def process(self, now: int, event: Event) -> None:
-        """As `handle`; what is decided waits for `take`."""
+        """As `handle`, but the actions wait for `take_actions`."""
         if isinstance(event, ServerAnswered):
             self.on_answered(now, event.site, event.order, event.took_us)
         elif isinstance(event, AttemptFailed):
@@ -197,7 +213,7 @@
             self._tick(now)
 
     def take_actions(self) -> list[Action]:
-        """What has been decided since the last call."""
+        """Return the actions since the last call."""
         actions, self.pending_actions = self.pending_actions, []
         return actions
 
@@ -211,7 +227,7 @@
         else:
             self._suspect_sites[site.number] = site
 
-    # What the list and operators say
+    # The server list, operators and peers
 
     def _update_list(self, now: int, event: ServersListed) -> None:
         for number, servers in event.sites.items():
@@ -227,19 +243,19 @@
             newest = max(servers.values(), default=0)
             if newest > site.newest_start_us:
                 if site.state is State.LOST and newest > site.state_since_us:
-                    site.next_trial_us = now  # what failed was another process
+                    site.next_trial_us = now  # the processes that failed have been replaced
                 site.newest_start_us = newest
         for number in [n for n, site in self.sites.items() if n not in event.sites]:
             site = self.sites[number]
             if site.state in (State.OUT, State.LOST, State.RETURNING):
-                site.servers = {}  # what was said or found out outlives the list
+                site.servers = {}  # the state outlives the list, as an operator or failures have set it
             else:
                 del self.sites[number]
                 self._suspect_sites.pop(number, None)
                 self._order_avoided_sites.pop(number, None)
 
     def _forget_failures(self, now: int, site: Site, servers: Mapping[bytes, int]) -> None:
-        """What has failed and is no longer listed, or is another process by now."""
+        """Forget failures of servers that have left the list or have restarted."""
         if site.order_failed_servers:
             site.order_failed_servers = {
                 s for s in site.order_failed_servers if s in servers and servers[s] == site.servers.get(s)
@@ -294,18 +310,20 @@
         if not any(
             other.state is State.WHOLE and other.servers for other in self.sites.values() if other is not site
         ):
-            return  # somebody must be there to take what it would
+            return  # another site must be able to take its load
         if now >= site.reported_until_us:
-            site.next_trial_us = now  # if they are wrong, this ends it
+            site.next_trial_us = now  # if the reports are wrong, the answer to this trial refutes them
         site.reported_until_us = event.until_us
         if site.state is State.WHOLE:
             self._set_state(now, site, State.DOUBTFUL, "it does not answer others")
 
-    # What happens for each request
+    # Events of each request
 
     def on_answered(self, now: int, number: int, order: bool = False, took_us: int = 0) -> None:
-        """A server of it has answered, `took_us` after it was asked; an `order` if it was a request that may
-        not be repeated."""
+        """A server of the site has answered, `took_us` after the request was sent.
+
+        `order`: the request may not be repeated.
+        """
         site = self.sites.get(number)
         if site is None:
             return
@@ -355,7 +373,7 @@
         )
 
     def on_failed(self, now: int, number: int, server: bytes, order: bool = False) -> bool:
-        """An attempt there failed with no answer.  Is the site lost by this one?"""
+        """An attempt has failed without an answer; returns whether the site is lost by this failure."""
         site = self.sites.get(number)
         if (
             site is None
@@ -425,7 +443,7 @@
             )
 
     def _readmit_orders(self, site: Site, cause: str) -> None:
-        """Nothing that orders have met there counts any more."""
+        """Forget the failures of orders at this site and let orders go there again."""
         site.order_failed_servers.clear()
         if site.orders_away:
             site.orders_away = False
@@ -433,9 +451,12 @@
             self.pending_actions.append(OrderAvoidanceChanged(site.number, False, cause))
 
     def on_hedge_won(self, now: int, number: int, server: bytes) -> None:
-        """An attempt was called off unheard, as its copy was answered: too little to raise a doubt, but
-        enough to end a long one, for each trial of a silent site is overtaken.  Where two servers have ended
-        and the rest are cold, the copies are quicker for a while as well."""
+        """An attempt was cancelled before any answer, as its hedge was answered first.
+
+        This is not enough to raise a doubt: where two servers have stopped and the rest are in slow start,
+        hedges are faster for a while as well.  It is enough to end a long doubt, because each trial of a
+        silent site is cancelled in this way.
+        """
         site = self.sites.get(number)
         if site is None:
             return
@@ -444,10 +465,11 @@
             self.on_failed(now, number, server)
 
     def keeps_hedged_attempt(self, now: int, number: int) -> bool:
-        """Is an attempt there to run to its end, though its copy has been answered?
+        """Whether an attempt there must run to its end although its hedge has been answered.
 
-        Where copies rescue all, nothing would tell a site that is lost from one that is slow: the latter's
-        attempt is answered at last."""
+        If every attempt were cancelled, a lost site could not be told from a slow one, whose attempt is
+        answered in the end.
+        """
         site = self.sites.get(number)
         if (
             site is None
@@ -469,17 +491,17 @@
         return min(MAX_TRIAL_INTERVAL_US, self.trial_interval_us << min(site.relapses, 3))
 
     def _another_site_answers(self, site: Site) -> bool:
-        """Has any other site answered since this one fell silent?"""
+        """Whether any other site has answered since this one began to fail."""
         return any(
             other.last_answer_us >= site.failing_since_us and other is not site
             for other in self.sites.values()
         )
 
     def on_sent(self, now: int, number: int, server: bytes = b"", order: bool = False) -> None:
-        """A request goes there: a trial, if the site is lost, and the next one waits for its turn."""
+        """A request is sent there; at a lost or doubtful site it is a trial, and the next one has to wait."""
         if order and number in self._order_avoided_sites:
             avoided = self._order_avoided_sites[number]
-            # if it is never heard of
+            # The time holds in case the end of the trial is never reported.
             avoided.order_trial_server, avoided.next_order_trial_us = server, now + MAX_TRIAL_INTERVAL_US
         site = self._suspect_sites.get(number)
         if site is None:
@@ -498,9 +520,12 @@
         last_resort: bool = False,
         otherwise_refused: bool = False,
     ) -> bool:
-        """Is it out of bounds for a request now?  A bold one has nowhere else to go; only an operator's word
-        keeps it away, or, if it may not be repeated, a loss: better refused than lost.  A spare one would
-        else be refused: it waits for no step of a return."""
+        """Whether a request may not go to the site now.
+
+        `last_resort`: it has nowhere else to go; only an operator's command closes the site to it, or a loss
+        if it may not be repeated, as a refusal is better than a lost order.  `otherwise_refused`: it would be
+        refused elsewhere, and so is not held back by the steps of a return.
+        """
         if (
             not repeatable
             and number in self._order_avoided_sites
@@ -524,19 +549,19 @@
         )
 
     def _allowance(self, now: int, site: Site) -> float:
-        """Requests that a returning site may take now, saved for a quarter of a second at the most."""
+        """Requests that a returning site may take now; unused ones accumulate for at most 0.25 s."""
         rate = RETURN_STEPS[site.step] * site.usual_rate
         return min(max(1.0, rate / 4), site.allowance + max(1.0, rate) * (now - site.allowance_at_us) / 1e6)
 
     def limited(self, number: int) -> bool:
-        """Is it lost, on its way back, or tried on others' word?"""
+        """Whether it is lost, returning, or gets only trials because of peer reports."""
         site = self._suspect_sites.get(number)
         return site is not None and (
             site.state is State.LOST or site.state is State.RETURNING or site.reported_until_us > 0
         )
 
     def due_trial(self, now: int) -> int:
-        """A lost or doubtful site that a repeatable request should try now; -1: there is none."""
+        """A lost or doubtful site to which a repeatable request should go now as a trial; -1: none."""
         for number, site in self._suspect_sites.items():
             wants_trial = site.state is State.LOST or site.state is State.DOUBTFUL
             if wants_trial and now >= site.next_trial_us and site.servers:
@@ -544,8 +569,10 @@
         return -1
 
     def spare_site(self, now: int) -> int:
-        """A site that a repeatable request can go to although the others have no room: it is to be tried, or
-        may take more on its return; -1: there is none."""
+        """A site that can take a repeatable request when the others have no capacity left; -1: none.
+
+        It is due for a trial, or may take more during its return.
+        """
         if not self._suspect_sites:
             return -1
         for number, site in self._suspect_sites.items():
@@ -554,8 +581,7 @@
         return self.due_trial(now)
 
     def set_usual_rates(self, servers: Iterable[tuple[int, float]]) -> None:
-        """What this balancer would send to each server now, were its site whole: (site, requests a
-        second)."""
+        """Set what this balancer would send to each server if its site were whole: (site, requests/s)."""
         rates: dict[int, float] = {}
         for number, rate in servers:
             rates[number] = rates.get(number, 0.0) + rate
@@ -577,7 +603,7 @@
                     self._set_state(now, site, State.WHOLE, "others say so no longer")
 
     def view(self) -> list[SiteView]:
-        """What is believed of all sites, in their order."""
+        """The state of all sites, in the order of their numbers."""
         shares = {State.WHOLE: 1.0, State.DOUBTFUL: 1.0, State.LOST: 0.0, State.OUT: 0.0}
         return [
             SiteView(
--- a/roadlb/sites/warm_up.py
+++ b/roadlb/sites/warm_up.py
@@ -1,12 +1,13 @@
-"""The least part of its capacity that a server can have by now.  No I/O.
+"""The least share of its capacity that a server in slow start can have.  No I/O.
 
-    what is known                                a server counts as started
-    the list says when, or that it was long ago  then
-    its site was lost, and a server answers      at that answer: the list tells of starts seconds late, and
-                                                 what was lost may be another process by now
-    the list has a start since the loss          then
-    LISTED_US have passed since that answer      as the list has it: it has nothing to tell, and only the way
-                                                 there had been cut
+    what is known                                assumed start of the server
+    the list has its start, or that it was long  the start in the list
+    ago
+    its site was lost, and a server answers      that answer: the list shows a start seconds late, and the
+                                                 lost server may be another process by now
+    the list has a start since the loss          the start in the list
+    LISTING_DELAY_US have passed since that      the start in the list: the server has not restarted, only
+    answer                                       the network to it was cut
 
 Times are microseconds of the caller's clock.
 """
@@ -17,25 +18,28 @@
 
 from .events import Action, State, StateChanged
 
-LISTING_DELAY_US = 4_000_000  # a started server is listed for every balancer by then (the lab: 3.4 s at most)
+LISTING_DELAY_US = 4_000_000  # until a started server is in every balancer's list (3.4 s at most in the lab)
 
 
 class WarmUp:
-    """Of all servers, as one balancer knows of them."""
+    """Tracks, for one balancer, how far servers are through slow start."""
 
     __slots__ = ("_lost_at", "_ramp_us", "_returned_at", "_start_share")
 
     def __init__(self, cold_from: float, cold_us: int) -> None:
         self.configure(cold_from, cold_us)
-        self._lost_at: dict[int, int] = {}  # by site: since when it was lost, the last time
-        self._returned_at: dict[int, int] = {}  # and when it answered again
+        self._lost_at: dict[int, int] = {}  # by site: the time of its last loss
+        self._returned_at: dict[int, int] = {}  # and of its first answer after it
 
     def configure(self, cold_from: float, cold_us: int) -> None:
-        """Of its capacity a server has `cold_from` when it starts, and all after `cold_us`; 0: at once."""
+        """A server starts with the share `cold_from` of its capacity and has all of it after `cold_us`.
+
+        0 means that it has all of it at once.
+        """
         self._start_share, self._ramp_us = cold_from, cold_us
 
     def observe(self, now: int, actions: Iterable[Action]) -> bool:
-        """What is decided of sites.  May any servers be colder by it than they were?"""
+        """Record state changes of sites; returns whether a server may now have less capacity than before."""
         is_any_colder = False
         for change in actions:
             if not isinstance(change, StateChanged):
@@ -45,11 +49,14 @@
             elif change.after is State.RETURNING and (
                 self._returned_at.get(change.site, -1) < self._lost_at.get(change.site, -1)
             ):
-                self._returned_at[change.site], is_any_colder = now, True  # the first time since it was lost
+                self._returned_at[change.site], is_any_colder = now, True  # its first answer since the loss
         return is_any_colder
 
     def capacity_share(self, now: int, site: int, started_at: int) -> float:
-        """Of a server of this site that by the list has started at `born`; 0: long ago."""
+        """The share of its capacity, 0..1, that a server of this site has.
+
+        `started_at` is its start by the server list; 0 means long ago.
+        """
         returned_at = self._returned_at.get(site)
         if (
             returned_at is not None
