--- a/roadlb/own_load.py
+++ b/roadlb/own_load.py
@@ -1,4 +1,4 @@
-"""Watches the program's own load: beats on the loop, reads the meter, has the module shed when short."""
+"""Watches the load of this process: reads loop delay and resource usage, and sets the share to shed."""
 
 from __future__ import annotations
 
@@ -10,22 +10,26 @@
 from .engine import Engine
 from .log import fields
 from .overload.controller import Controller, Shed, Tighten
-from .overload.meter import READ_US, Limits, Meter, Reading
-from .overload.pulse import Pulse
-from .overload.readings import cpu_used_us, memory_bytes, waited_us
+from .overload.meter import READING_INTERVAL_US, Limits, Meter, Reading
+from .overload.loop_monitor import LoopMonitor
+from .overload.readings import cpu_used_us, memory_bytes, since_last_receive_us
 
 logger = logging.getLogger(__name__)
 
-# What a refusal costs of a served request, by benchmarks/data_path.py: 0.49 to 0.67 at 400 to 4,000 a second,
-# of which the kernel's part alone is a fifth.
-REFUSAL = 0.5
-# Of less it is not worth asking the kernel, which costs 3 us a read where the loop is always a little late.
-LATE_ENOUGH_US = 20_000
+# The cost of a refusal as a part of that of a served request.  benchmarks/data_path.py shows 0.49 to 0.67 at
+# 400 to 4,000 requests per second; the kernel's part alone is a fifth.
+REFUSAL_COST = 0.5
+# A smaller delay does not justify asking the kernel, which costs 3 us per read on a loop that is always a
+# little late.
+MIN_KERNEL_QUERY_DELAY_US = 20_000
 
 
 class OwnLoad:
-    """`aim_us` is the shortest aim of a class; `descriptors` counts those that are open; `tighten` hears when
-    memory or descriptors become short, and when that is over."""
+    """Measures the load of this process every READING_INTERVAL_US and tells the engine what share to shed.
+
+    `aim_us` is the shortest aim of a class; `descriptors` returns the number of open ones; `on_tighten` is
+    called with True when memory or descriptors become short, and with False when they no longer are.
+    """
 
     def __init__(
         self,
@@ -34,62 +38,64 @@
         limits: Limits,
         aim_us: int,
         descriptors: Callable[[], int],
-        tighten: Callable[[bool], None],
+        on_tighten: Callable[[bool], None],
         cpu_us: Callable[[], int] = cpu_used_us,
         memory: Callable[[], int] = memory_bytes,
     ) -> None:
-        self._clock, self._engine, self._tighten = clock, engine, tighten
+        self._clock, self._engine, self._on_tighten = clock, engine, on_tighten
         self._loop, now = asyncio.get_running_loop(), clock()
-        self._pulse = Pulse(now)
-        self._meter = Meter(now, self._pulse, limits, cpu_us, memory, descriptors, engine.request_counts)
-        self._controller = Controller(aim_us, REFUSAL)
+        self._loop_monitor = LoopMonitor(now)
+        self._meter = Meter(
+            now, self._loop_monitor, limits, cpu_us, memory, descriptors, engine.request_counts
+        )
+        self._controller = Controller(aim_us, REFUSAL_COST)
         self._reading = Reading(0, 0.0)
-        self._read_at, self._next = now + READ_US, self._loop.call_soon(self._beat)
+        self._next_reading_at, self._beat_timer = now + READING_INTERVAL_US, self._loop.call_soon(self._beat)
 
-    def came_us(self, transport: asyncio.Transport) -> int:
-        """The earliest moment at which bytes read now from this transport may have come, on the clock."""
+    def earliest_arrival_us(self, transport: asyncio.Transport) -> int:
+        """The earliest clock time at which bytes read now from this transport can have arrived."""
         now = self._clock()
-        came = self._pulse.came_us(now)
-        if now - came < LATE_ENOUGH_US:
+        arrival = self._loop_monitor.earliest_arrival_us(now)
+        if now - arrival < MIN_KERNEL_QUERY_DELAY_US:
             return now
-        # The loop was late: ask the kernel, as most bytes came a moment ago.
-        connection = transport.get_extra_info("socket")
-        if connection is not None and (waited := waited_us(connection)):
-            return max(came, now - waited)
-        return came
+        # The loop was late: ask the kernel, as most bytes have arrived only just now.
+        tcp_socket = transport.get_extra_info("socket")
+        if tcp_socket is not None and (ago_us := since_last_receive_us(tcp_socket)):
+            return max(arrival, now - ago_us)
+        return arrival
 
     def late_us(self) -> int:
-        """How long ago what is handled now may have come: 0 on a sound loop."""
+        """How long ago the data handled now may have arrived: 0 if the loop is not late."""
         now = self._clock()
-        return now - self._pulse.came_us(now)
+        return now - self._loop_monitor.earliest_arrival_us(now)
 
     def _beat(self) -> None:
         now = self._clock()
-        due = self._pulse.beat(now)
-        self._next = self._loop.call_later((due - now) / 1e6, self._beat)
-        if now >= self._read_at:
-            self._read_at = now + READ_US
-            self._read(now)
+        due = self._loop_monitor.beat(now)
+        self._beat_timer = self._loop.call_later((due - now) / 1e6, self._beat)
+        if now >= self._next_reading_at:
+            self._next_reading_at = now + READING_INTERVAL_US
+            self._take_reading(now)
 
-    def _read(self, now: int) -> None:
+    def _take_reading(self, now: int) -> None:
         self._reading = self._meter.read(now)
         for action in self._controller.handle(now, self._reading):
             if isinstance(action, Shed):
                 self._engine.set_shed_share(action.share)
             elif isinstance(action, Tighten):
                 logger.info("tighten", extra=fields(on=action.on, **self.figures()))
-                self._tighten(action.on)
+                self._on_tighten(action.on)
 
     def figures(self) -> dict[str, float]:
-        """The last reading and what is shed for it, under the names that operators see."""
-        r = self._reading
+        """The last reading and the shed share, under their metric names."""
+        reading = self._reading
         return {
             "overload.shed_share": self._controller.share,
-            "overload.cpu_share": r.cpu_share,
-            "overload.late_us": r.late_max_us,
-            "overload.memory_share": r.memory_share,
-            "overload.descriptor_share": r.descriptor_share,
+            "overload.cpu_share": reading.cpu_share,
+            "overload.late_us": reading.late_max_us,
+            "overload.memory_share": reading.memory_share,
+            "overload.descriptor_share": reading.descriptor_share,
         }
 
     def stop(self) -> None:
-        self._next.cancel()
+        self._beat_timer.cancel()
--- a/roadlb/policy/change.py
+++ b/roadlb/policy/change.py
@@ -16,8 +16,8 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import replace
 
-from ..sites.refusal import Refusals
-from ..sites.warmth import Warmth
+from ..sites.refusal import RefusalOrder
+from ..sites.warm_up import WarmUp
 from .interface import Action, Cancel, Effect, RequestClass, Settings
 from .state import ClassState, Request
 
@@ -27,8 +27,8 @@
     new: Settings,
     classes: Sequence[ClassState],
     requests: Mapping[int, Request],
-    refusal_order: Refusals,
-    warm_up: Warmth,
+    refusal_order: RefusalOrder,
+    warm_up: WarmUp,
     rebuild: Callable[[], None],
 ) -> list[Action]:
     """Bring classes, open requests, refusal ranks and slow start from the settings `old` to `new`.
@@ -52,8 +52,8 @@
     for class_index, cls in enumerate(classes):
         cls.spec = new.classes[class_index]
     if _ranking_settings(old) != _ranking_settings(new):
-        refusal_order.begin(new.refusals)
-    warm_up.grow(new.cold_from, new.cold_us)
+        refusal_order.set_plan(new.refusals)
+    warm_up.configure(new.cold_from, new.cold_us)
     if _lookup_settings(old) != _lookup_settings(new):
         rebuild()
     return actions
--- a/roadlb/policy/logic.py
+++ b/roadlb/policy/logic.py
@@ -16,11 +16,11 @@
 from ..routing.key_sets import RECENT_US, KeySet, KeySets
 from ..routing.shares import BudgetShares
 from ..routing.health import HealthTracker
-from ..sites.events import Doubted, Listed, Pulse, PutIn, TakeOut
-from ..sites.life import Sites
-from ..sites.refusal import Quotas, Refusals
-from ..sites.warmth import Warmth
-from ..sites.work_in_hand import WorkInHand
+from ..sites.events import ReportedSilent, ServersListed, Tick, PutIn, TakeOut
+from ..sites.state_machine import Sites
+from ..sites.refusal import QuotaUsage, RefusalOrder
+from ..sites.warm_up import WarmUp
+from ..sites.in_flight_load import InFlightLoad
 from .change import apply, cancel_unsent_to_drained
 from .interface import NEVER_RAN, Action, AdmissionCheck, Arrival, BodyComplete, Cancel, ClientGone
 from .interface import Effect, Event, Fail, Group, ListKind, ListUpdate, Log, Outcome, ProcessCount
@@ -49,7 +49,7 @@
         self.classes = [ClassState(c, c.aim_us / 4, c.aim_us / 2) for c in settings.classes]
         self.dials_cost = settings.dials_cost
         self.health = HealthTracker(self.rng.random)
-        self.warmth = Warmth(settings.cold_from, settings.cold_us)
+        self.warmth = WarmUp(settings.cold_from, settings.cold_us)
         self.servers = ServerList(self.health, self.warmth)
         self.sets: KeySets[Server] = KeySets(self.servers.servers_for_key)
         self.requests: dict[int, Request] = {}
@@ -58,8 +58,8 @@
         self.fleet, self.sites = self.servers.fleet, Sites()
         self.slow_start = SlowStart()
         self.shares = BudgetShares(settings.instances)  # of what all balancers together may do
-        self.shortage, self.local_shortage, self.refusals = 0.0, 0.0, Refusals(settings.refusals)
-        self.fleet_load, self.quotas = WorkInHand(), Quotas([t.quota_per_s for t in settings.tenants])
+        self.shortage, self.local_shortage, self.refusals = 0.0, 0.0, RefusalOrder(settings.refusals)
+        self.fleet_load, self.quotas = InFlightLoad(), QuotaUsage([t.quota_per_s for t in settings.tenants])
         self.overload, self.is_monitored = 0.0, False  # the last event; has any come?
         self.aim_us, self.queue_index = min(c.aim_us for c in settings.classes), settings.queue_index
         self.timers = TimerSlots()
@@ -78,7 +78,7 @@
             BodyComplete: self.on_body_complete,
             SettingsChanged: self.on_settings_changed,
             ProcessCount: lambda e: self.shares.set_process_count(self.now, e.count),
-            SiteOverride: lambda e: self.sites.tell(self.now, (TakeOut if e.out else PutIn)(e.site)),
+            SiteOverride: lambda e: self.sites.process(self.now, (TakeOut if e.out else PutIn)(e.site)),
         }
 
     def handle(self, now: int, event: Event) -> list[Action]:
@@ -95,10 +95,10 @@
                 )
         if handler := self.handlers.get(type(event)):
             handler(event)
-        if self.sites.decided:
+        if self.sites.pending_actions:
             self.slow_start.set_warm_capacity(now, self.servers.warm_capacity(self.sites))
-            self.actions += map(Log, map(str, decided := self.sites.take()))
-            if self.warmth.hear(now, decided):
+            self.actions += map(Log, map(str, decided := self.sites.take_actions()))
+            if self.warmth.observe(now, decided):
                 self.rebuild()
         return self.actions
 
@@ -122,15 +122,15 @@
         self.schedule(self.now + TICK_US, TICK)
         if any(s.share < 1 for s in self.servers.ready):
             self.rebuild()
-        self.refusals.fade()
-        self.quotas.fade()
+        self.refusals.decay()
+        self.quotas.decay()
         self.slow_start.tick(self.now, self.servers.warm_capacity(self.sites), self.servers.capacity)
         self.sets.update_reports(
             [s.queue * s.unit_load for s in self.servers.ready if self.now - s.reported_us < RECENT_US]
         )
         each = self.slow_start.work_per_s / (self.slow_start.mean_work or 1.0) / self.servers.capacity
-        self.sites.usual([(s.zone, each * s.weight * s.share) for s in self.servers.ready])
-        self.sites.tell(self.now, Pulse())
+        self.sites.set_usual_rates([(s.zone, each * s.weight * s.share) for s in self.servers.ready])
+        self.sites.process(self.now, Tick())
 
     def on_list_update(self, e: ListUpdate) -> None:
         if e.kind is ListKind.FAILED:
@@ -142,7 +142,7 @@
         if self.servers.apply(self.now, e, self.settings, self.aim_us):
             self.schedule(self.now + DRAIN_DIAL_US, DRAIN)
         self.rebuild()
-        self.sites.tell(self.now, Listed(self.servers.start_times()))
+        self.sites.process(self.now, ServersListed(self.servers.start_times()))
 
     def on_settings_changed(self, e: SettingsChanged) -> None:
         old, self.settings, self.dials_cost = self.settings, (new := e.settings), e.settings.dials_cost
@@ -157,14 +157,16 @@
         safe = r.cls.spec.effect is Effect.SAFE
         if (
             not s.is_ready
-            or self.sites.shut(self.now, s.zone, safe, r.last_resort, r.spare_only)
+            or self.sites.is_closed(self.now, s.zone, safe, r.last_resort, r.spare_only)
             or s.is_excluded(
                 self.now, s.in_flight, self.aim_us, safe, r.cls.spec.effect is Effect.UNSAFE, r.last_resort
             )
         ):
             return False
         return (s.share >= 1 or self.slow_start_budget(s, r) > 0) and not (
-            self.shares.is_limited and self.sites.away(s.zone) and not self.shares.may_dial(self.now, s.zone)
+            self.shares.is_limited
+            and self.sites.limited(s.zone)
+            and not self.shares.may_dial(self.now, s.zone)
         )
 
     def slow_start_budget(self, s: Server, r: Request) -> float:
@@ -198,14 +200,18 @@
         if status is Status.CANCELLED and unanswered:
             if latency > r.cls.spec.aim_us:
                 status = Status.TIMEOUT  # cancelled, but it never came
-            self.sites.overtaken(now, s.zone, s.id)
+            self.sites.on_hedge_won(now, s.zone, s.id)
         if status in (Status.FULL, Status.CONNECT_FAILED):
             self.health.record_full(now, s, cls.mean_us)
         if status in FAILURES:
             self.health.record_failed_attempt(now, s, status is Status.SPOILT, len(self.servers.ready))
             # With less than the usual time left it says nothing of the site: an answer may have been coming.
             short = status is Status.TIMEOUT and latency < cls.tail_us
-            if status is not Status.SPOILT and not short and self.sites.missed(now, s.zone, s.id, r.is_order):
+            if (
+                status is not Status.SPOILT
+                and not short
+                and self.sites.on_failed(now, s.zone, s.id, r.is_order)
+            ):
                 for other in self.requests.values():  # waiting for that site is no sign of load
                     if other.attempts and other.attempts[-1].server.zone == s.zone:
                         other.end_progress(now, self.fleet_load)
@@ -253,7 +259,7 @@
         if (
             not tried
             and spec.effect is Effect.SAFE
-            and (site := self.sites.due(self.now)) >= 0
+            and (site := self.sites.due_trial(self.now)) >= 0
             and (s := self.least_loaded(self.servers.groups.get((Group.ZONE, site), ()), r, tried, SAMPLE))
         ):
             return s  # a trial of a lost site, which would not be chosen otherwise
@@ -305,9 +311,9 @@
         self.slow_start.record_sent(s, r.work_us or r.cls.base_latency_us)
         del s.idle_since_us[-1:]
         if self.shares.is_limited:
-            self.shares.record_attempt(now, s.zone, self.sites.away(s.zone), bool(r.attempts))
+            self.shares.record_attempt(now, s.zone, self.sites.limited(s.zone), bool(r.attempts))
         if not r.spare_only:
-            self.sites.sent(now, s.zone, s.id, r.is_order)
+            self.sites.on_sent(now, s.zone, s.id, r.is_order)
         write_by_us = r.write_by_us()
         r.attempts.append(a := Attempt(s, now))
         r.open_attempts += 1
@@ -370,13 +376,13 @@
             s.queue_share = s.queue / self.shares.balancer_count
         if e.status in (Status.OK, Status.ERROR, Status.FULL, Status.SPOILT):
             s.last_answer_at = self.now
-            self.sites.answered(self.now, s.zone, r.is_order, e.latency_us)
+            self.sites.on_answered(self.now, s.zone, r.is_order, e.latency_us)
             if e.status is not Status.FULL:
-                self.fleet_load.answered(self.now)
+                self.fleet_load.answer_received(self.now)
         self.record_outcome(s, r, e.status, e.latency_us, unanswered=a.sent_us > s.last_answer_at)
         if e.status is Status.FULL and s.full_count == 1:
             # A server that rejects repeatedly is draining, which is no sign of too much work.
-            self.fleet_load.turned(self.now, r.cls.spec.aim_us)
+            self.fleet_load.request_rejected(self.now, r.cls.spec.aim_us)
         if e.closed or r.closed:
             self.close(r)
         elif r.open_attempts:
@@ -412,7 +418,7 @@
         if self.settings.cancelling and r.open_attempts and not r.streaming:
             safe = r.cls.spec.effect is Effect.SAFE
             for n, a in r.open_uncancelled(except_attempt):
-                if not (safe and self.sites.keeps(self.now, a.server.zone)):
+                if not (safe and self.sites.keeps_hedged_attempt(self.now, a.server.zone)):
                     a.cancelled = True
                     self.actions.append(Cancel(r.id, n))
 
@@ -438,7 +444,7 @@
         shed = self.should_shed(e, cls)
         if shed and cls.spec.effect is Effect.SAFE:
             # Otherwise a balancer that refuses all but orders would never try a lost site.
-            r.only_site = self.sites.spare(self.now)
+            r.only_site = self.sites.spare_site(self.now)
             r.spare_only = r.only_site < 0 and bool(self.servers.ready)
         if shed and r.only_site < 0 and not r.spare_only or self.is_too_late(e, cls) or not self.send(r):
             self.give_up(r)
@@ -490,7 +496,7 @@
             if s := self.servers.by_id.get(server):
                 self.health.apply_peer_report(s, until, len(self.servers.ready))
         for site, (since, until) in e.unreachable_zones.items():
-            self.sites.tell(self.now, Doubted(site, since, until))
+            self.sites.process(self.now, ReportedSilent(site, since, until))
 
     def measure_shortage(self) -> float:
         """The share of the demand that the servers have no capacity for."""
@@ -505,8 +511,8 @@
         """Load shedding by worth per work; a request `coming` is counted here only if it is refused."""
         worth, tenants = cls.spec.worth, self.settings.tenants
         if not coming:
-            self.quotas.ask(e.tenant)
-        if over := self.quotas.over(
+            self.quotas.count_request(e.tenant)
+        if over := self.quotas.exceeds_quota(
             e.tenant, self.shares.quota_divisor(self.now, e.tenant), self.rng.random() if tenants else 1.0
         ):
             worth *= self.settings.over_share_worth
@@ -517,15 +523,15 @@
             worth *= 2
         rank = self.refusals.rank(worth, e.class_index, e.tenant, over, e.is_retry, warm)
         if not coming:
-            self.refusals.ask(rank)
+            self.refusals.count_request(rank)
         self.shortage = self.measure_shortage()
         shed_share = max(self.shortage, self.overload)
         if shed_share <= 0:
             return False
         # Within a rank the key decides, alike on all balancers: those served stay the same, and cached.
         tie_break = (splitmix64(e.key) & HASH_MASK) / HASH_MASK if e.key else self.rng.random()
-        refused = self.refusals.refused(rank, tie_break, shed_share)
+        refused = self.refusals.is_refused(rank, tie_break, shed_share)
         if refused and coming:
-            self.refusals.ask(rank)
-            self.quotas.ask(e.tenant)
+            self.refusals.count_request(rank)
+            self.quotas.count_request(e.tenant)
         return refused
--- a/roadlb/policy/server_list.py
+++ b/roadlb/policy/server_list.py
@@ -11,8 +11,8 @@
 from ..routing.slow_start_budget import SlowStartBudget
 from ..routing.key_order import RendezvousOrder
 from ..routing.health import HealthTracker
-from ..sites.life import Sites
-from ..sites.warmth import Warmth
+from ..sites.state_machine import Sites
+from ..sites.warm_up import WarmUp
 from .interface import Group, ListKind, ListUpdate, Member, ServerId, ServerState, ServerView, Settings
 from .state import Server
 
@@ -35,7 +35,7 @@
         "warmth",
     )
 
-    def __init__(self, health: HealthTracker, warmth: Warmth) -> None:
+    def __init__(self, health: HealthTracker, warmth: WarmUp) -> None:
         self.health = health
         self.warmth = warmth
         self.fleet = Server(b"")  # a pseudo-server that stands for all of them: total load and capacity
@@ -114,7 +114,7 @@
     def warm_capacity(self, sites: Sites) -> float:
         """The capacity of warm servers that take requests: not ejected, nor in an impaired zone."""
         return sum(
-            s.weight for s in self.ready if s.share >= 1 and not s.ejected_until and not sites.away(s.zone)
+            s.weight for s in self.ready if s.share >= 1 and not s.ejected_until and not sites.limited(s.zone)
         )
 
     def servers_for_key(self, key: int, count: int) -> list[Server]:
--- a/roadlb/policy/state.py
+++ b/roadlb/policy/state.py
@@ -8,8 +8,8 @@
 from ..routing.slow_start_budget import SlowStartBudget
 from ..routing.key_order import HASH_MASK, splitmix64
 from ..routing.health import ServerHealth
-from ..sites.warmth import Warmth
-from ..sites.work_in_hand import WorkInHand
+from ..sites.warm_up import WarmUp
+from ..sites.in_flight_load import InFlightLoad
 from .interface import Effect, RequestClass, ServerId, ServerView, SetTimer
 
 LOAD_MEMORY_US = 2_000_000  # time constant of the mean of requests in flight at a server
@@ -42,9 +42,9 @@
     def __post_init__(self) -> None:
         self.hash = splitmix64(int.from_bytes(self.id, "big")) & HASH_MASK
 
-    def capacity_share_at(self, warmth: Warmth, now: int) -> float:
+    def capacity_share_at(self, warmth: WarmUp, now: int) -> float:
         """A lower bound of the part of its capacity that it has at this time."""
-        return warmth.part(now, self.zone, self.started_us)
+        return warmth.capacity_share(now, self.zone, self.started_us)
 
     def load(self, now: int, aim_us: int) -> float:
         """Own requests in flight, now and in the recent mean, and a reported queue, per capacity."""
@@ -186,15 +186,15 @@
             if attempt.is_open and not attempt.cancelled and n != except_attempt
         ]
 
-    def start_progress(self, now: int, fleet_load: WorkInHand) -> None:
+    def start_progress(self, now: int, fleet_load: InFlightLoad) -> None:
         """Count it in the load in flight until it is answered, given up or late."""
         self.in_progress = True
-        fleet_load.began(now, self.cls.spec.aim_us)
+        fleet_load.request_started(now, self.cls.spec.aim_us)
 
-    def end_progress(self, now: int, fleet_load: WorkInHand) -> None:
+    def end_progress(self, now: int, fleet_load: InFlightLoad) -> None:
         if self.in_progress:
             self.in_progress = False
-            fleet_load.ended(now, self.cls.spec.aim_us)
+            fleet_load.request_ended(now, self.cls.spec.aim_us)
 
     def write_by_us(self) -> int:
         """Clock time by which a retry has to be written; 0: at any time.
--- a/tests/engine/test_own_load.py
+++ b/tests/engine/test_own_load.py
@@ -14,8 +14,8 @@
 from roadlb.engine import Engine
 from roadlb.exchange import Answer, AttemptOutcome, Exchange, Message, Refusal, Result, Response
 from roadlb.overload.meter import Limits
-from roadlb.overload.pulse import BEAT_US
-from roadlb.own_load import LATE_ENOUGH_US, OwnLoad
+from roadlb.overload.loop_monitor import BEAT_INTERVAL_US
+from roadlb.own_load import MIN_KERNEL_QUERY_DELAY_US, OwnLoad
 from roadlb.policy.interface import Action, Event, ListKind, Member, ProcessOverload, RequestClass, Settings
 from roadlb.policy.logic import Balancer
 from roadlb.wheel import TimerWheel
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize(
     ("late_us", "received_ms_ago", "age_us"),
     [
-        (LATE_ENOUGH_US // 4, 300, 0),  # too little delay to ask the kernel
+        (MIN_KERNEL_QUERY_DELAY_US // 4, 300, 0),  # too little delay to ask the kernel
         (300_000, 120, 121_000),  # the kernel reports when they came, rounded up by 1 ms
         (300_000, 900, 310_000),  # but not before the last beat of the loop
         (300_000, None, 310_000),  # without a report they count from the start of the pause
@@ -85,7 +85,7 @@
         engine = Engine(policy, Counters(), lambda: now, TimerWheel(lambda: now))
         own_load = OwnLoad(lambda: now, engine, Limits(1.0), 500_000, lambda: 1, lambda on: None, lambda: 0)
         now += 10_000 + late_us  # the first beat is due after 10 ms
-        assert now - own_load.came_us(FakeTransport(received_ms_ago)) == age_us  # type: ignore[arg-type]
+        assert now - own_load.earliest_arrival_us(FakeTransport(received_ms_ago)) == age_us  # type: ignore[arg-type]
         own_load.stop()
 
     asyncio.run(main())
@@ -106,7 +106,7 @@
             lambda: cpu,
         )
         for delay_us in (0, 0, *[60_000] * 30, *[0] * 300):  # a beat every 10 ms, thirty of them late
-            now += BEAT_US + delay_us
+            now += BEAT_INTERVAL_US + delay_us
             cpu += 1_000
             own_load._beat()
         shares = [e.share for e in policy.events if isinstance(e, ProcessOverload)]
--- a/tests/overload/test_overload_simulation.py
+++ b/tests/overload/test_overload_simulation.py
@@ -192,7 +192,7 @@
     # freed no CPU.
     class Uncounted(Controller):
         def handle(self, now: int, event: Reading) -> list[Action]:
-            return super().handle(now, replace(event, asked=-1))
+            return super().handle(now, replace(event, arrived_count=-1))
 
     counted, uncounted = Controller(AIM_US, CHEAP_REFUSAL), Uncounted(AIM_US, CHEAP_REFUSAL)
     for controller, min_share, max_share in ((counted, 0.99, 1.0), (uncounted, 0.0, 0.3)):
--- a/tests/overload/test_overload_units.py
+++ b/tests/overload/test_overload_units.py
@@ -10,51 +10,51 @@
 import pytest
 
 from roadlb.overload import readings
-from roadlb.overload.controller import KEPT_BUSY, KEPT_LEAST, Action, Controller, Shed, Tighten
+from roadlb.overload.controller import MIN_KEPT_BY_CPU, MIN_KEPT, Action, Controller, Shed, Tighten
 from roadlb.overload.cost import RequestCost
 from roadlb.overload.meter import Limits, Meter, Reading
-from roadlb.overload.pulse import BEAT_US, Pulse
+from roadlb.overload.loop_monitor import BEAT_INTERVAL_US, LoopMonitor
 
 START_US = 1_000_000
 
 
 def test_a_loop_on_time_has_no_delay_and_reads_bytes_that_have_just_arrived() -> None:
-    pulse, now = Pulse(START_US), START_US
+    pulse, now = LoopMonitor(START_US), START_US
     for _ in range(10):
-        now = pulse.beat(now + BEAT_US + 300)
-        assert pulse.late_us(now - 1) == 0 and pulse.came_us(now - 1) == now - 1
-        now -= BEAT_US
-    assert pulse.take(now).largest_us == 300
+        now = pulse.beat(now + BEAT_INTERVAL_US + 300)
+        assert pulse.late_us(now - 1) == 0 and pulse.earliest_arrival_us(now - 1) == now - 1
+        now -= BEAT_INTERVAL_US
+    assert pulse.take_delay(now).max_us == 300
 
 
 def test_a_stop_shows_in_the_first_callback_and_until_the_beat_after_the_late_one() -> None:
     # In libuv's order timers run before reads, so after a stop between two turns of the loop the late beat
     # precedes the reading of what was sent during the stop.
-    pulse = Pulse(START_US)
+    pulse = LoopMonitor(START_US)
     now = START_US + 300_000
-    assert pulse.late_us(now) == 290_000 and pulse.came_us(now) == START_US
+    assert pulse.late_us(now) == 290_000 and pulse.earliest_arrival_us(now) == START_US
     pulse.beat(now)
-    assert pulse.late_us(now + 1) == 0 and pulse.came_us(now + 1) == START_US
-    now = pulse.beat(now + BEAT_US)
-    assert pulse.came_us(now) == now
+    assert pulse.late_us(now + 1) == 0 and pulse.earliest_arrival_us(now + 1) == START_US
+    now = pulse.beat(now + BEAT_INTERVAL_US)
+    assert pulse.earliest_arrival_us(now) == now
 
 
 def test_delays_are_reported_per_interval_and_one_that_spans_two_is_not_counted_twice() -> None:
-    pulse = Pulse(START_US)
-    first = pulse.take(START_US + BEAT_US + 40_000)  # 40 ms late, and the delay continues
-    assert (first.largest_us, first.mean_us) == (40_000, pytest.approx(40_000**2 / 2 / 50_000))
-    pulse.beat(START_US + BEAT_US + 100_000)
-    second = pulse.take(START_US + BEAT_US + 100_000)
-    assert second.largest_us == 100_000
+    pulse = LoopMonitor(START_US)
+    first = pulse.take_delay(START_US + BEAT_INTERVAL_US + 40_000)  # 40 ms late, and the delay continues
+    assert (first.max_us, first.mean_us) == (40_000, pytest.approx(40_000**2 / 2 / 50_000))
+    pulse.beat(START_US + BEAT_INTERVAL_US + 100_000)
+    second = pulse.take_delay(START_US + BEAT_INTERVAL_US + 100_000)
+    assert second.max_us == 100_000
     assert second.mean_us == pytest.approx((100_000**2 - 40_000**2) / 2 / 60_000)
-    assert pulse.take(START_US + 2 * BEAT_US + 100_000).largest_us == 0
+    assert pulse.take_delay(START_US + 2 * BEAT_INTERVAL_US + 100_000).max_us == 0
 
 
 def test_a_reading_has_the_used_shares_of_the_limits_since_the_last_one() -> None:
     cpu_used, counts = iter([5_000, 40_000, 40_000]), iter([(10, 1), (110, 41), (110, 41)])
     meter = Meter(
         START_US,
-        Pulse(START_US),
+        LoopMonitor(START_US),
         Limits(0.7, 64, 1_000),
         lambda: next(cpu_used),
         lambda: 16 << 20,
@@ -68,13 +68,13 @@
         0.25,
         0.25,
     )
-    assert (reading.asked, reading.refused, reading.late_max_us) == (100, 40, 90_000)
+    assert (reading.arrived_count, reading.refused_count, reading.late_max_us) == (100, 40, 90_000)
     assert meter.read(START_US + 100_000).cpu_share == 0
 
 
 def test_without_a_limit_the_share_is_zero_and_a_negative_limit_is_named() -> None:
     def meter(limits: Limits) -> Meter:
-        return Meter(START_US, Pulse(START_US), limits, lambda: 1, lambda: 1, lambda: 1, lambda: (0, 0))
+        return Meter(START_US, LoopMonitor(START_US), limits, lambda: 1, lambda: 1, lambda: 1, lambda: (0, 0))
 
     reading = meter(Limits(0.0)).read(START_US + 1)
     assert (reading.cpu_share, reading.memory_share, reading.descriptor_share) == (0, 0, 0)
@@ -108,14 +108,14 @@
             sent = time.monotonic_ns()
             client.sendall(b"x")
             time.sleep(0.05)
-            waited, longest = readings.waited_us(connection), (time.monotonic_ns() - sent) // 1000
+            waited, longest = readings.since_last_receive_us(connection), (time.monotonic_ns() - sent) // 1000
             assert 40_000 < waited <= longest + 10_000
-    assert readings.waited_us(connection) == 0, "closed"
+    assert readings.since_last_receive_us(connection) == 0, "closed"
 
 
 def make_reading(cpu: float = 0.5, late: float = 0.0, interval: int = 100_000, **more: float) -> Reading:
     asked = int(cpu * interval * 0.01)
-    return Reading(interval, cpu, int(2 * late), late, asked=asked, **more)  # type: ignore[arg-type]
+    return Reading(interval, cpu, int(2 * late), late, arrived_count=asked, **more)  # type: ignore[arg-type]
 
 
 def handle_all(controller: Controller, *events: Reading) -> list[Action]:
@@ -136,15 +136,15 @@
         and 0.2 < controller.share < 0.7
     )
     handle_all(controller, *[make_reading(1.0) for _ in range(50)])
-    assert controller.share == 1 - KEPT_BUSY
+    assert controller.share == 1 - MIN_KEPT_BY_CPU
 
 
 def test_a_late_loop_sheds_more_than_full_cpu_does_and_only_while_it_is_late() -> None:
     controller = Controller(500_000, 0.2)
     handle_all(controller, *[make_reading(1.0, 400_000) for _ in range(30)])
-    assert controller.share == 1 - KEPT_LEAST
+    assert controller.share == 1 - MIN_KEPT
     handle_all(controller, *[make_reading(1.0) for _ in range(30)])
-    assert controller.share == 1 - KEPT_BUSY, "orders must not starve as long as clients keep asking"
+    assert controller.share == 1 - MIN_KEPT_BY_CPU, "orders must not starve as long as clients keep asking"
 
 
 def test_one_late_reading_counts_as_a_stop_by_the_host_and_two_as_overload() -> None:
@@ -169,16 +169,19 @@
 
 
 @pytest.mark.parametrize(
-    "first_reading", [make_reading(0.3), Reading(100_000, 0.9, asked=60)], ids=["calm", "busy"]
+    "first_reading", [make_reading(0.3), Reading(100_000, 0.9, arrived_count=60)], ids=["calm", "busy"]
 )
 def test_minutes_of_invalid_traffic_do_not_raise_the_learned_request_cost(first_reading: Reading) -> None:
     cost = RequestCost(200_000, 0.92, 0.2)
     for reading in [first_reading] * 15 + [make_reading(0.3)] * 60:
-        cost.share(reading)
-    invalid_traffic = Reading(100_000, 1.0, asked=make_reading(0.3).asked)
-    shares = [cost.share(invalid_traffic) for _ in range(2_000)]
+        cost.requests_cpu_share(reading)
+    invalid_traffic = Reading(100_000, 1.0, arrived_count=make_reading(0.3).arrived_count)
+    shares = [cost.requests_cpu_share(invalid_traffic) for _ in range(2_000)]
     assert max(shares[20:]) < 0.5
-    assert cost.share(Reading(100_000, 1.0, asked=make_reading(1.0).asked)) > shares[-1]
+    assert (
+        cost.requests_cpu_share(Reading(100_000, 1.0, arrived_count=make_reading(1.0).arrived_count))
+        > shares[-1]
+    )
 
 
 def test_a_lack_of_memory_or_descriptors_is_reported_once_and_ends_well_below_the_threshold() -> None:
--- a/tests/overload/test_policy_events.py
+++ b/tests/overload/test_policy_events.py
@@ -116,7 +116,7 @@
     harness.request_mix(1_000)
     harness.handle(ProcessOverload(overload_share))
     for _ in range(in_flight):
-        harness.balancer.fleet_load.began(harness.now, 100_000)
+        harness.balancer.fleet_load.request_started(harness.now, 100_000)
     count = 0
     for _ in range(2_000):
         count += not harness.request(
@@ -175,19 +175,19 @@
     for cls in (READ, ORDER):
         for key in range(1, 100):
             ranks, tenants, requests = (
-                harness.balancer.refusals.total,
+                harness.balancer.refusals.request_count,
                 sum(harness.balancer.quotas.counts),
                 dict(harness.balancer.requests),
             )
             refused = bool(harness.offer(cls, key))
-            assert (harness.balancer.refusals.total, sum(harness.balancer.quotas.counts)) == (
+            assert (harness.balancer.refusals.request_count, sum(harness.balancer.quotas.counts)) == (
                 ranks + refused,
                 tenants + refused,
             )
             assert harness.balancer.requests == requests
             if not refused:
                 harness.request(cls, key)
-                assert harness.balancer.refusals.total == ranks + 1
+                assert harness.balancer.refusals.request_count == ranks + 1
 
 
 def test_admission_checks_change_nothing_without_an_overload() -> None:
--- a/tests/policy/test_changed.py
+++ b/tests/policy/test_changed.py
@@ -204,7 +204,7 @@
     for request, server in enumerate(servers, 1):
         harness.finish(server, request=request)
     assert (
-        harness.balancer.fleet_load.out == 0
+        harness.balancer.fleet_load.in_flight_count == 0
         and not harness.balancer.requests
         and all(s.in_flight == 0 for s in harness.balancer.servers.ready)
     )
@@ -256,9 +256,9 @@
 def test_a_change_that_affects_no_rank_keeps_the_request_counts() -> None:
     harness = BalancerUnderTest(classes=CLASSES)
     count_refusals(harness, 200)
-    asked = list(harness.balancer.refusals.asked)
+    asked = list(harness.balancer.refusals.requests_by_rank)
     change_settings(harness, max_attempts=7, second_copies=False, cross_zone_cost=1.0)
-    assert harness.balancer.refusals.asked == asked and sum(asked) > 0
+    assert harness.balancer.refusals.requests_by_rank == asked and sum(asked) > 0
 
 
 def test_a_cross_zone_cost_applies_to_new_keys_and_keeps_the_sets_of_known_keys() -> None:
--- a/tests/policy/test_late_events.py
+++ b/tests/policy/test_late_events.py
@@ -74,7 +74,7 @@
     assert not [a for a in late if isinstance(a, Send)]
     assert (
         not harness.balancer.requests
-        and harness.balancer.fleet_load.out == 0
+        and harness.balancer.fleet_load.in_flight_count == 0
         and harness.balancer.fleet.in_flight == 0
     )
 
@@ -88,7 +88,7 @@
     harness.feed(Outcome(1, 0, send.server, Status.CANCELLED, 1000, True))
     assert (
         not harness.balancer.requests
-        and harness.balancer.fleet_load.out == 0
+        and harness.balancer.fleet_load.in_flight_count == 0
         and harness.balancer.fleet.in_flight == 0
     )
 
--- a/tests/sites/test_lost_site.py
+++ b/tests/sites/test_lost_site.py
@@ -25,7 +25,7 @@
     TimerFired,
 )
 from roadlb.sites.events import State
-from roadlb.sites.life import LOSS
+from roadlb.sites.state_machine import LOSS_FAILURES
 
 SECOND = 1_000_000
 SERVERS_PER_ZONE = 40  # in each of three zones
@@ -156,7 +156,7 @@
     simulation.run(4)
     refused_before = simulation.refused  # requests that had waited there too long
     simulation.run(6)
-    assert 2 * LOSS <= len(simulation.sent_since(since)) <= 2 * (LOSS + allowed_more)
+    assert 2 * LOSS_FAILURES <= len(simulation.sent_since(since)) <= 2 * (LOSS_FAILURES + allowed_more)
     assert simulation.refused - refused_before <= 3
     assert simulation.balancer.shortage < 0.3
 
--- a/tests/sites/test_processes.py
+++ b/tests/sites/test_processes.py
@@ -23,7 +23,7 @@
 
 from roadlb.lab.run.rig import GENEROUS_S, Rig, SiteChange
 from roadlb.lab.wire import ClientGot, ClientSent
-from roadlb.sites.life import STEADY_US, TRIAL_US
+from roadlb.sites.state_machine import STABLE_US, TRIAL_INTERVAL_US
 
 IN_FLIGHT_US = 100_000  # for messages sent before the cut that arrive after it
 COMPLETION_US = 500_000  # requests sent before the end of a fault have ended this much later
@@ -73,7 +73,7 @@
                         losses_and_returns, losses_and_returns[1:], losses_and_returns[2:], strict=False
                     )
                     if returned.before == "lost"
-                    and lost.at - returned.at < STEADY_US
+                    and lost.at - returned.at < STABLE_US
                     and any(since < lost.at < end - COMPLETION_US for since, end in faults)
                 ]
             return found
@@ -95,7 +95,7 @@
                 affected = [name for name in names if rig.say(name, "hall-c", "lost")]
                 await rig.until("taken back by the balancers that had lost it", partial(taken_back, affected))
         for lost, again in relapses():
-            assert again.at - lost.at >= 2 * TRIAL_US, (
+            assert again.at - lost.at >= 2 * TRIAL_INTERVAL_US, (
                 "a trial after the usual interval, although the site has relapsed"
             )
         await rig.until("taken back by all once it is stable", lambda: rig.all_say("hall-c", "whole"))
--- a/tests/sites/test_processes_hard.py
+++ b/tests/sites/test_processes_hard.py
@@ -23,7 +23,7 @@
 from roadlb.lab.run.rig import GENEROUS_S, Rig
 from roadlb.lab.run.settings import plan_of
 from roadlb.lab.wire import ClientGot, ClientLost, NodeFell, NodeGave, NodeGot, NodeStarted
-from roadlb.sites.life import TRIAL_US
+from roadlb.sites.state_machine import TRIAL_INTERVAL_US
 
 IN_FLIGHT_US = 100_000  # for messages sent before a change was known
 
@@ -82,7 +82,7 @@
                 for event in rig.got(detected + IN_FLIGHT_US, "hall-a", "POST")
                 if event.balancer == name
             ]
-            assert all(b - a > TRIAL_US - IN_FLIGHT_US for a, b in pairwise(received)), (
+            assert all(b - a > TRIAL_INTERVAL_US - IN_FLIGHT_US for a, b in pairwise(received)), (
                 "one order at a time, at the trial interval"
             )
         heal()
