--- a/tests/net/limited_program.py
+++ b/tests/net/limited_program.py
@@ -18,49 +18,53 @@
 from watching import HEAD, Discovery, line, update
 
 ROOT = Path(__file__).parents[2]
-SOCKETS = 128  # the process's limit, and the kernel's
-IDLE = 300  # clients, all at once: far more than that
-GENERATION = 5  # of the list that discovery begins with
+MAX_DESCRIPTORS = 128  # the process's limit, and the kernel's
+IDLE_CLIENT_COUNT = 300  # clients, all at once: far more than that
+INITIAL_GENERATION = 5  # of the list that discovery begins with
 
 
-def limited() -> None:
-    resource.setrlimit(resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
+def limit_descriptors() -> None:
+    resource.setrlimit(resource.RLIMIT_NOFILE, (MAX_DESCRIPTORS, MAX_DESCRIPTORS))
 
 
 @dataclass(slots=True)
-class Program:
+class BalancerProcess:
     """The balancer's process; `log` has what it wrote once it has ended."""
 
     pid: int
     port: int
     log: list[str] = field(default_factory=list)
 
-    def stop(self) -> None:
+    def suspend(self) -> None:
         os.kill(self.pid, signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         os.kill(self.pid, signal.SIGCONT)
 
 
 @asynccontextmanager
 async def limited_program(
-    folder: Path, discovery: Discovery, known: dict[str, object], max_attempts: int, told: int = SOCKETS
-) -> AsyncIterator[Program]:
+    folder: Path,
+    discovery: Discovery,
+    initial_list: dict[str, object],
+    max_attempts: int,
+    configured_descriptors: int = MAX_DESCRIPTORS,
+) -> AsyncIterator[BalancerProcess]:
     """A balancer that listens; `told`: how many descriptors its configuration says that it may hold."""
     # Bound, and never listening, it keeps the port from others' connections till the process listens there.
-    holder = socket.socket()
-    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    holder.bind(("127.0.0.1", 0))
-    port = int(holder.getsockname()[1])
+    port_holder = socket.socket()
+    port_holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    port_holder.bind(("127.0.0.1", 0))
+    port = int(port_holder.getsockname()[1])
     config = folder / "config.json"
     raw = {
         "name": "n0",
         "listen": f"127.0.0.1:{port}",
         "discovery": str(discovery.address),
         "seed": "5",
-        "known": known,
-        "settings": {**SETTINGS, "limits": {"max_attempts": max_attempts, "sockets": told}},
-        "limits": {"sockets": told},
+        "known": initial_list,
+        "settings": {**SETTINGS, "limits": {"max_attempts": max_attempts, "sockets": configured_descriptors}},
+        "limits": {"sockets": configured_descriptors},
     }
     config.write_text(json.dumps(raw))
     process = await asyncio.create_subprocess_exec(
@@ -69,16 +73,16 @@
         "roadlb",
         cwd=ROOT,
         stderr=asyncio.subprocess.PIPE,
-        preexec_fn=limited,
+        preexec_fn=limit_descriptors,
         env={**os.environ, "PYTHONPATH": str(ROOT), "PROXY_CONFIG": str(config)},
     )
     assert process.stderr
-    program = Program(process.pid, port)
+    program = BalancerProcess(process.pid, port)
     try:
-        (await discovery.call()).send(HEAD, line(update(GENERATION)))
-        while b"event=listening" not in (logged := await process.stderr.readline()):
-            assert logged, "the process ended before it listened"
-        holder.close()
+        (await discovery.call()).send(HEAD, line(update(INITIAL_GENERATION)))
+        while b"event=listening" not in (log_line := await process.stderr.readline()):
+            assert log_line, "the process ended before it listened"
+        port_holder.close()
         log = asyncio.ensure_future(process.stderr.read())
         yield program
     finally:
@@ -91,14 +95,14 @@
 
 async def idle_clients(port: int, count: int) -> list[socket.socket]:
     """Connections on which nothing is ever sent."""
-    made = []
+    clients = []
     loop = asyncio.get_running_loop()
     for _ in range(count):
         client = socket.socket()
         client.setblocking(False)
-        made.append(client)
+        clients.append(client)
     with suppress(ConnectionError):
         await asyncio.gather(
-            *(loop.sock_connect(client, ("127.0.0.1", port)) for client in made), return_exceptions=True
+            *(loop.sock_connect(client, ("127.0.0.1", port)) for client in clients), return_exceptions=True
         )
-    return made
+    return clients
--- a/tests/net/record_behaviour.py
+++ b/tests/net/record_behaviour.py
@@ -18,47 +18,50 @@
 from corpus import CLIENT  # noqa: E402
 from corpus_nodes import NODE  # noqa: E402
 
-TABLE = Path(__file__).with_name("behaviour.json")
-BYTEWISE_MOST = 3_000
-QUIET = 20  # turns between two segments: what came first has had its effect
+BEHAVIOUR_PATH = Path(__file__).with_name("behaviour.json")
+MAX_BYTEWISE_BYTES = 3_000
+SETTLE_TURNS = 20  # turns between two segments: what came first has had its effect
 SIDES: dict[str, tuple[dict[str, bytes], Callable[..., object]]] = {
     "client": (CLIENT, harness.client),
     "node": (NODE, harness.node),
 }
 
 
-def cuts(data: bytes) -> Iterator[tuple[list[bytes], int]]:
+def segmentations(data: bytes) -> Iterator[tuple[list[bytes], int]]:
     """The message whole, and cut up where it matters: segments, and the turns between them."""
     yield [data], 1
-    if len(data) <= BYTEWISE_MOST:
+    if len(data) <= MAX_BYTEWISE_BYTES:
         yield [data[i : i + 1] for i in range(len(data))], 1
     # Before the last byte, behind each head, and between a body's (or chunk's) data and what follows it.
-    at, words = 0, [word for word in (b"body", b"one") if word in data]
-    places = [len(data) - 1, *(data.find(word) + len(word) for word in words)]
-    while (at := data.find(b"\r\n\r\n", at) + 4) > 3:
-        places.append(at)
-    for place in sorted(set(places[:7]) - {-1, len(data)}):
-        yield [data[:place], data[place:]], QUIET
+    offset, markers = 0, [marker for marker in (b"body", b"one") if marker in data]
+    offsets = [len(data) - 1, *(data.find(marker) + len(marker) for marker in markers)]
+    while (offset := data.find(b"\r\n\r\n", offset) + 4) > 3:
+        offsets.append(offset)
+    for cut_offset in sorted(set(offsets[:7]) - {-1, len(data)}):
+        yield [data[:cut_offset], data[cut_offset:]], SETTLE_TURNS
 
 
 def outcomes(side: str, data: bytes) -> list[dict[str, object]]:
     """Every outcome that cutting it up brings about, the whole message's first."""
-    play, found = SIDES[side][1], []
-    for segments, gap in cuts(data):
-        outcome = json.loads(json.dumps(play(segments, gap).json()))  # type: ignore[attr-defined]
-        if outcome not in found:
-            found.append(outcome)
-    return found
+    run_case, distinct_outcomes = SIDES[side][1], []
+    for segments, gap in segmentations(data):
+        outcome = json.loads(json.dumps(run_case(segments, gap).json()))  # type: ignore[attr-defined]
+        if outcome not in distinct_outcomes:
+            distinct_outcomes.append(outcome)
+    return distinct_outcomes
 
 
 def main() -> None:
     lines = []
     for side, (cases, _) in SIDES.items():
         for name, data in cases.items():
-            found = outcomes(side, data)
-            told = json.dumps(found if len(found) > 1 else found[0], separators=(", ", ": "))
-            lines.append(f"{json.dumps(f'{side}/{name}')}: {told}")
-    TABLE.write_text("{\n" + ",\n".join(lines) + "\n}\n")
+            distinct_outcomes = outcomes(side, data)
+            encoded = json.dumps(
+                distinct_outcomes if len(distinct_outcomes) > 1 else distinct_outcomes[0],
+                separators=(", ", ": "),
+            )
+            lines.append(f"{json.dumps(f'{side}/{name}')}: {encoded}")
+    BEHAVIOUR_PATH.write_text("{\n" + ",\n".join(lines) + "\n}\n")
 
 
 if __name__ == "__main__":
--- a/tests/net/test_behaviour.py
+++ b/tests/net/test_behaviour.py
@@ -19,11 +19,13 @@
 from harness import ClientOutcome, NodeOutcome, Pairs, Ran
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from record_behaviour import BYTEWISE_MOST, QUIET, TABLE
+from record_behaviour import MAX_BYTEWISE_BYTES, SETTLE_TURNS, BEHAVIOUR_PATH
 
-RECORDED = json.loads(TABLE.read_text())
+RECORDED = json.loads(BEHAVIOUR_PATH.read_text())
 # Where the code is meant to differ from the table, which was recorded on aiohttp: by the reason.
-CHANGES: dict[str, dict[str, dict[str, object]]] = json.loads(TABLE.with_name("changes.json").read_text())
+CHANGES: dict[str, dict[str, dict[str, object]]] = json.loads(
+    BEHAVIOUR_PATH.with_name("changes.json").read_text()
+)
 CHANGED = {name: outcome for cases in CHANGES.values() for name, outcome in cases.items()}
 SIDES: dict[str, tuple[dict[str, bytes], Callable[..., ClientOutcome | NodeOutcome]]] = {
     "client": (CLIENT, harness.client),
@@ -32,7 +34,7 @@
 GROUPS = sorted({f"{side}/{name.partition('/')[0]}" for side, (cases, _) in SIDES.items() for name in cases})
 ENDS = {"kept", "closed", "aborted", "lingers", "waiting"}
 STATUSES = {100, 200, 400, 404, 405, 409, 411, 413, 414, 417, 426, 431, 501, 505}
-GAPS = (0, 1, QUIET)  # turns of the loop between segments; uvloop may hand over several in one
+GAPS = (0, 1, SETTLE_TURNS)  # turns of the loop between segments; uvloop may hand over several in one
 SLOW = settings(derandomize=True, deadline=None, max_examples=250)
 
 
@@ -225,7 +227,7 @@
 def test_byte_for_byte_a_message_is_what_it_is_as_a_whole(group: str) -> None:
     wrong = {}
     for side, name, data in members(group):
-        if len(data) <= BYTEWISE_MOST // 10:
+        if len(data) <= MAX_BYTEWISE_BYTES // 10:
             outcome = lasting(SIDES[side][1]([data[i : i + 1] for i in range(len(data))]))
             if outcome != lasting(whole(name)):
                 wrong[name] = (outcome, "but as a whole", lasting(whole(name)))
--- a/tests/net/test_client_closing.py
+++ b/tests/net/test_client_closing.py
@@ -12,17 +12,19 @@
 
 import pytest
 from scenario import LIMIT_S, LOOPS, Stage, run
-from test_client_leaves import begun, only, order, over, step, until
+from test_client_leaves import start_stage, only_connection, order_request, stop_stage, step, wait_until
 
 from roadlb.lifecycle.lifecycle import Event
 from roadlb.net import client_connection, frontend
 
-ASKED = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-CLOSE = "Connection: close"
-BEHIND = client_connection.DISCARDED_MOST // 2  # bytes behind what is faulty, all of which are thrown away
+HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
+CLOSE_HEADER = "Connection: close"
+TRAILING_BYTES = (
+    client_connection.DISCARDED_MOST // 2
+)  # bytes behind what is faulty, all of which are thrown away
 
 
-class Plain:
+class BlockingClient:
     """A client that reads nothing till it is asked to."""
 
     def __init__(self, stage: Stage) -> None:
@@ -31,186 +33,191 @@
     def send(self, text: str) -> None:
         self.socket.sendall(text.encode())
 
-    def fill(self, text: str) -> bytes:
+    def send_available(self, text: str) -> bytes:
         """Send as much of it as the kernel takes in this turn; gives the rest."""
         self.socket.setblocking(False)
-        left = memoryview(text.encode())
+        remaining = memoryview(text.encode())
         with suppress(BlockingIOError):
-            while left:
-                left = left[self.socket.send(left) :]
-        return bytes(left)
+            while remaining:
+                remaining = remaining[self.socket.send(remaining) :]
+        return bytes(remaining)
 
-    async def go_on(self, more: int) -> None:
+    async def send_more(self, byte_count: int) -> None:
         """Send so many bytes as they are taken; a reset raises."""
         async with asyncio.timeout(LIMIT_S):
-            await asyncio.get_running_loop().sock_sendall(self.socket, b"x" * more)
+            await asyncio.get_running_loop().sock_sendall(self.socket, b"x" * byte_count)
 
-    async def rest(self) -> str:
+    async def read_to_end(self) -> str:
         """All that comes up to the stream's end; a reset raises."""
         self.socket.setblocking(False)
-        got, loop = b"", asyncio.get_running_loop()
+        received, loop = b"", asyncio.get_running_loop()
         async with asyncio.timeout(LIMIT_S):
             while read := await loop.sock_recv(self.socket, 65_536):
-                got += read
+                received += read
         self.socket.close()
-        return got.decode()
+        return received.decode()
 
     def close(self) -> None:
         self.socket.close()
 
 
-def play(loop: str, grid: str, main: Callable[[Stage, Plain], Awaitable[None]]) -> None:
-    async def whole() -> None:
-        stage = await begun(grid)
-        plain = Plain(stage)
-        await until(lambda: stage.app.frontend.connections)
-        await main(stage, plain)
-        plain.close()
-        await over(stage)
+def run_with_client(loop: str, grid: str, main: Callable[[Stage, BlockingClient], Awaitable[None]]) -> None:
+    async def main_with_stage() -> None:
+        stage = await start_stage(grid)
+        blocking_client = BlockingClient(stage)
+        await wait_until(lambda: stage.app.frontend.connections)
+        await main(stage, blocking_client)
+        blocking_client.close()
+        await stop_stage(stage)
 
-    run(whole(), loop)
+    run(main_with_stage(), loop)
 
 
-async def asked(stage: Stage, plain: Plain) -> None:
+async def send_answered_request(stage: Stage, blocking_client: BlockingClient) -> None:
     """Have the connection carry a request, which is answered."""
-    plain.send(ASKED)
-    await until(lambda: only(stage).asked)
+    blocking_client.send(HEALTH_REQUEST)
+    await wait_until(lambda: only_connection(stage).asked)
 
 
 @pytest.mark.parametrize("loop", LOOPS)
 def test_no_reset_destroys_a_last_answer_though_its_client_goes_on_sending(loop: str) -> None:
-    async def main(stage: Stage, plain: Plain) -> None:
-        plain.send(order(1))
+    async def main(stage: Stage, blocking_client: BlockingClient) -> None:
+        blocking_client.send(order_request(1))
         await step(stage, "i1 expect POST")
         stage.app.tell(Event.OUT_OF_SERVICE)
         await step(stage, "i1 send 200 done")
-        connection = only(stage)
-        await until(lambda: connection.closing_us)
-        plain.send(order(2) + order(3))
-        await until(lambda: connection._discarded)
-        got = await plain.rest()
-        assert got.count("HTTP/1.1") == 1 and CLOSE in got and got.endswith("done")
-        await until(lambda: not stage.app.frontend.connections)
+        connection = only_connection(stage)
+        await wait_until(lambda: connection.closing_us)
+        blocking_client.send(order_request(2) + order_request(3))
+        await wait_until(lambda: connection._discarded)
+        received = await blocking_client.read_to_end()
+        assert received.count("HTTP/1.1") == 1 and CLOSE_HEADER in received and received.endswith("done")
+        await wait_until(lambda: not stage.app.frontend.connections)
         assert stage.app.counters["taken"] == 1
 
-    play(loop, "1", main)
+    run_with_client(loop, "1", main)
 
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize(
     ("sent", "status"),
     [
-        (order(1, 1 << 26), 413),
+        (order_request(1, 1 << 26), 413),
         ("nonsense\r\n\r\n", 400),
         ("GET /grid-read/k HTTP/1.1\r\nHost: x\r\nX-A: " + "x" * 20_000, 431),
     ],
 )
 def test_no_reset_destroys_the_answer_to_input_that_goes_on(sent: str, status: int, loop: str) -> None:
-    async def main(stage: Stage, plain: Plain) -> None:
+    async def main(stage: Stage, blocking_client: BlockingClient) -> None:
         # More than the loop reads in one piece: some of it is in the socket when the answer is written, and a
         # plain close would be a reset.
-        connection = only(stage)
-        plain.fill(sent + "x" * BEHIND)
-        await until(lambda: connection.closing_us)
-        await plain.go_on(100_000)
-        got = await plain.rest()
-        assert got.startswith(f"HTTP/1.1 {status}") and CLOSE in got
+        connection = only_connection(stage)
+        blocking_client.send_available(sent + "x" * TRAILING_BYTES)
+        await wait_until(lambda: connection.closing_us)
+        await blocking_client.send_more(100_000)
+        received = await blocking_client.read_to_end()
+        assert received.startswith(f"HTTP/1.1 {status}") and CLOSE_HEADER in received
         assert stage.app.counters[f"rejected.{status}"] == 1
 
-    play(loop, "1", main)
+    run_with_client(loop, "1", main)
 
 
 @pytest.mark.parametrize("loop", LOOPS)
 def test_a_client_that_never_closes_and_sends_for_ever_is_closed_within_bounds(loop: str) -> None:
-    async def main(stage: Stage, plain: Plain) -> None:
-        connection = only(stage)
-        plain.send("nonsense\r\n\r\n")
-        await until(lambda: connection.closing_us)
-        plain.socket.setblocking(False)
+    async def main(stage: Stage, blocking_client: BlockingClient) -> None:
+        connection = only_connection(stage)
+        blocking_client.send("nonsense\r\n\r\n")
+        await wait_until(lambda: connection.closing_us)
+        blocking_client.socket.setblocking(False)
         async with asyncio.timeout(LIMIT_S):
             while connection.transport is not None:
                 try:
-                    plain.socket.send(b"x" * 65_536)
+                    blocking_client.socket.send(b"x" * 65_536)
                 except BlockingIOError:
                     pass
                 except ConnectionError:
                     break
                 await asyncio.sleep(0)
-        await until(lambda: not stage.app.frontend.connections)
+        await wait_until(lambda: not stage.app.frontend.connections)
         assert connection._discarded <= client_connection.DISCARDED_MOST + (
             1 << 19
         )  # and two reads of the loop
 
-    play(loop, "1", main)
+    run_with_client(loop, "1", main)
 
 
 @pytest.mark.parametrize("loop", LOOPS)
 def test_each_request_in_line_is_answered_and_only_the_last_answer_says_so(loop: str) -> None:
-    async def main(stage: Stage, plain: Plain) -> None:
-        plain.send(order(1) + order(2))
+    async def main(stage: Stage, blocking_client: BlockingClient) -> None:
+        blocking_client.send(order_request(1) + order_request(2))
         await step(stage, "i1 expect POST")
         stage.app.tell(Event.OUT_OF_SERVICE)
         await step(stage, "i1 send 200 one")
         await step(stage, "i2 expect POST")
         await step(stage, "i2 send 200 two")
-        first, second = (await plain.rest()).split("HTTP/1.1 200")[1:]
-        assert CLOSE not in first and first.endswith("one") and CLOSE in second and second.endswith("two")
+        first, second = (await blocking_client.read_to_end()).split("HTTP/1.1 200")[1:]
+        assert (
+            CLOSE_HEADER not in first
+            and first.endswith("one")
+            and CLOSE_HEADER in second
+            and second.endswith("two")
+        )
 
-    play(loop, "1", main)
+    run_with_client(loop, "1", main)
 
 
 @pytest.mark.parametrize("loop", LOOPS)
 def test_a_request_that_has_come_and_is_not_read_yet_is_answered(loop: str) -> None:
-    async def main(stage: Stage, plain: Plain) -> None:
-        plain.send(order(1))
+    async def main(stage: Stage, blocking_client: BlockingClient) -> None:
+        blocking_client.send(order_request(1))
         await step(stage, "i1 expect POST")
         stage.app.tell(Event.OUT_OF_SERVICE)
-        exchange = only(stage).exchange
+        exchange = only_connection(stage).exchange
         assert exchange is not None
-        plain.send(order(2))
+        blocking_client.send(order_request(2))
         stage.app.engine._give_up(exchange, "for the test")  # in this turn, as any answer may come
         await step(stage, "i2 expect POST")
         await step(stage, "i2 send 200 two")
-        first, second = (await plain.rest()).split("HTTP/1.1 ")[1:]
-        assert CLOSE not in first and CLOSE in second and second.endswith("two")
+        first, second = (await blocking_client.read_to_end()).split("HTTP/1.1 ")[1:]
+        assert CLOSE_HEADER not in first and CLOSE_HEADER in second and second.endswith("two")
 
-    play(loop, "1", main)
+    run_with_client(loop, "1", main)
 
 
-def idles(stage: Stage) -> None:
+def sweep_idle(stage: Stage) -> None:
     stage.app.frontend.sweep()
 
 
-def drains(stage: Stage) -> None:
+def drain_idle(stage: Stage) -> None:
     stage.app.frontend.close_idle(1.0)
 
 
-def crowds(stage: Stage) -> None:
-    client = stage.app.frontend
-    client.limit(0)
-    client.connected(client_connection.ClientConnection(client))
+def exceed_connection_limit(stage: Stage) -> None:
+    frontend_under_test = stage.app.frontend
+    frontend_under_test.limit(0)
+    frontend_under_test.connected(client_connection.ClientConnection(frontend_under_test))
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-@pytest.mark.parametrize("closes", [idles, drains, crowds])
+@pytest.mark.parametrize("close_idle_connections", [sweep_idle, drain_idle, exceed_connection_limit])
 def test_a_resting_connection_is_not_closed_on_a_request_that_has_come(
-    monkeypatch: pytest.MonkeyPatch, closes: Callable[[Stage], None], loop: str
+    monkeypatch: pytest.MonkeyPatch, close_idle_connections: Callable[[Stage], None], loop: str
 ) -> None:
-    async def main(stage: Stage, plain: Plain) -> None:
-        await asked(stage, plain)
+    async def main(stage: Stage, blocking_client: BlockingClient) -> None:
+        await send_answered_request(stage, blocking_client)
         monkeypatch.setattr(frontend, "IDLE_S", -1.0)
         monkeypatch.setattr(frontend, "SPARE_IDLE_S", -1.0)
         monkeypatch.setattr(frontend, "FEW", 2)
-        plain.send(order(1))
-        closes(stage)
+        blocking_client.send(order_request(1))
+        close_idle_connections(stage)
         monkeypatch.undo()
         await step(stage, "i1 expect POST")
         await step(stage, "i1 send 200 done")
-        await until(lambda: not only_open(stage).exchange)
-        plain.socket.shutdown(socket.SHUT_WR)
-        assert (await plain.rest()).endswith("done")
+        await wait_until(lambda: not only_open(stage).exchange)
+        blocking_client.socket.shutdown(socket.SHUT_WR)
+        assert (await blocking_client.read_to_end()).endswith("done")
 
-    play(loop, "1", main)
+    run_with_client(loop, "1", main)
 
 
 def only_open(stage: Stage) -> client_connection.ClientConnection:
@@ -218,38 +225,40 @@
     connections = stage.app.frontend.connections
     for connection in [c for c in connections if c.transport is None]:
         del connections[connection]
-    return only(stage)
+    return only_connection(stage)
 
 
 @pytest.mark.parametrize("loop", LOOPS)
 def test_a_request_whose_rest_has_come_is_not_closed_as_unfinished(loop: str) -> None:
-    async def main(stage: Stage, plain: Plain) -> None:
-        text = order(1)
-        plain.send(text[:-2])
-        await until(lambda: only(stage).started_us)
-        plain.send(text[-2:])
+    async def main(stage: Stage, blocking_client: BlockingClient) -> None:
+        text = order_request(1)
+        blocking_client.send(text[:-2])
+        await wait_until(lambda: only_connection(stage).started_us)
+        blocking_client.send(text[-2:])
         stage.app.frontend.close_unfinished()
         await step(stage, "i1 expect POST")
         await step(stage, "i1 send 200 done")
-        await until(lambda: not only(stage).exchange)
-        plain.socket.shutdown(socket.SHUT_WR)
-        assert (await plain.rest()).endswith("done")
+        await wait_until(lambda: not only_connection(stage).exchange)
+        blocking_client.socket.shutdown(socket.SHUT_WR)
+        assert (await blocking_client.read_to_end()).endswith("done")
 
-    play(loop, "1", main)
+    run_with_client(loop, "1", main)
 
 
 @pytest.mark.parametrize("loop", LOOPS)
 def test_a_request_that_crosses_the_end_of_its_resting_connection_never_runs(loop: str) -> None:
-    async def main(stage: Stage, plain: Plain) -> None:
-        await asked(stage, plain)
-        connection = only(stage)
+    async def main(stage: Stage, blocking_client: BlockingClient) -> None:
+        await send_answered_request(stage, blocking_client)
+        connection = only_connection(stage)
         stage.app.frontend.close_idle(1.0)
-        plain.send(order(1))
-        assert (await plain.rest()).count("HTTP/1.1") == 1  # it ends in good order, and can be sent once more
-        await until(lambda: connection.transport is None)
+        blocking_client.send(order_request(1))
+        assert (await blocking_client.read_to_end()).count(
+            "HTTP/1.1"
+        ) == 1  # it ends in good order, and can be sent once more
+        await wait_until(lambda: connection.transport is None)
         assert stage.app.counters["taken"] == 0
 
-    play(loop, "1", main)
+    run_with_client(loop, "1", main)
 
 
 @pytest.mark.parametrize("loop", LOOPS)
@@ -258,29 +267,29 @@
 ) -> None:
     monkeypatch.setattr(frontend, "LINGER_S", 100.0)
 
-    async def main(stage: Stage, plain: Plain) -> None:
-        connection = only(stage)
-        plain.send("nonsense\r\n\r\n")
-        await until(lambda: connection.lingers)
+    async def main(stage: Stage, blocking_client: BlockingClient) -> None:
+        connection = only_connection(stage)
+        blocking_client.send("nonsense\r\n\r\n")
+        await wait_until(lambda: connection.lingers)
         stage.app.frontend.limit(1)
-        other = Plain(stage)
-        await until(lambda: connection not in stage.app.frontend.connections)
+        other = BlockingClient(stage)
+        await wait_until(lambda: connection not in stage.app.frontend.connections)
         assert stage.app.counters["client.crowded"] == 0
         other.close()
 
-    play(loop, "1", main)
+    run_with_client(loop, "1", main)
 
 
 @pytest.mark.parametrize("loop", LOOPS)
 def test_small_writes_are_not_held_back(loop: str) -> None:
-    async def main(stage: Stage, plain: Plain) -> None:
-        plain.send(order(1))
+    async def main(stage: Stage, blocking_client: BlockingClient) -> None:
+        blocking_client.send(order_request(1))
         await step(stage, "i1 expect POST")
         (to_server,) = stage.app.server_connections.pool.open
-        for transport in (only(stage).transport, to_server.transport):
+        for transport in (only_connection(stage).transport, to_server.transport):
             assert transport is not None
             connection = transport.get_extra_info("socket")
             assert connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         await step(stage, "i1 send 200 done")
 
-    play(loop, "1", main)
+    run_with_client(loop, "1", main)
--- a/tests/net/test_client_descriptors.py
+++ b/tests/net/test_client_descriptors.py
@@ -12,34 +12,41 @@
 from contextlib import asynccontextmanager, suppress
 from pathlib import Path
 
-from limited_program import GENERATION, IDLE, SOCKETS, Program, idle_clients, limited_program
+from limited_program import (
+    INITIAL_GENERATION,
+    IDLE_CLIENT_COUNT,
+    MAX_DESCRIPTORS,
+    BalancerProcess,
+    idle_clients,
+    limited_program,
+)
 from scenario import Link, run
 from watching import ENOUGH_S, Discovery, entry, until, update
 
-WATCHED_S = 1.0  # over which the process's time on a core is taken
-BUSY_MOST_S = 0.5  # a process that spins has all of it
-TOLD_TOO_MANY = 1024  # descriptors, to a process that may have SOCKETS: its own limits never bite
-LATE = 6  # clients past the limit, one at a time
-ASK = "GET /grid-read/k HTTP/1.1\r\nHost: x\r\nX-Account: acme\r\nX-Correlation-Id: {id}\r\n\r\n"
+MEASURED_S = 1.0  # over which the process's time on a core is taken
+MAX_CPU_S = 0.5  # a process that spins has all of it
+OVERSTATED_DESCRIPTORS = 1024  # descriptors, to a process that may have SOCKETS: its own limits never bite
+LATE_CLIENT_COUNT = 6  # clients past the limit, one at a time
+REQUEST_TEMPLATE = "GET /grid-read/k HTTP/1.1\r\nHost: x\r\nX-Account: acme\r\nX-Correlation-Id: {id}\r\n\r\n"
 
 
-class Grid:
+class HoldingServer:
     """A server that holds each request back till the test answers it."""
 
     def __init__(self) -> None:
         self.requests: asyncio.Queue[Link] = asyncio.Queue()
 
     async def start(self) -> int:
-        self._server = await asyncio.start_server(self._called, "127.0.0.1", 0)
+        self._server = await asyncio.start_server(self._on_connection, "127.0.0.1", 0)
         return int(self._server.sockets[0].getsockname()[1])
 
-    async def _called(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         link = Link(reader, writer)
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             while await link.message():
                 await self.requests.put(link)
 
-    async def request(self) -> Link:
+    async def next_request(self) -> Link:
         async with asyncio.timeout(ENOUGH_S):
             return await self.requests.get()
 
@@ -47,64 +54,68 @@
         self._server.close()
 
 
-class Process:
+class LimitedBalancer:
     """The balancer, which has few descriptors."""
 
-    def __init__(self, program: Program, grid: Grid) -> None:
-        self.pid, self.port, self.grid = program.pid, program.port, grid
-        self.stop, self.go_on = program.stop, program.go_on
+    def __init__(self, program: BalancerProcess, holding_server: HoldingServer) -> None:
+        self.pid, self.port, self.holding_server = program.pid, program.port, holding_server
+        self.suspend, self.resume = program.suspend, program.resume
 
     async def client(self) -> Link:
         return Link(*await asyncio.open_connection("127.0.0.1", self.port))
 
-    def descriptors(self) -> int:
+    def open_descriptors(self) -> int:
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
-    def busy_s(self) -> float:
+    def cpu_s(self) -> float:
         """Its time on a core so far."""
-        told = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(told[11]) + int(told[12])) / os.sysconf("SC_CLK_TCK")
+        stat_fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
+        return (int(stat_fields[11]) + int(stat_fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 @asynccontextmanager
-async def limited_balancer(tmp_path: Path, told: int = SOCKETS) -> AsyncIterator[Process]:
+async def limited_balancer(
+    tmp_path: Path, configured_descriptors: int = MAX_DESCRIPTORS
+) -> AsyncIterator[LimitedBalancer]:
     """`told`: how many descriptors its configuration says that it may hold."""
-    discovery, grid = Discovery(), Grid()
+    discovery, holding_server = Discovery(), HoldingServer()
     await discovery.start()
-    known = update(GENERATION, entry("s", port=await grid.start()), reset=True)
-    async with limited_program(tmp_path, discovery, known, max_attempts=1, told=told) as program:
-        yield Process(program, grid)
+    initial_list = update(INITIAL_GENERATION, entry("s", port=await holding_server.start()), reset=True)
+    async with limited_program(
+        tmp_path, discovery, initial_list, max_attempts=1, configured_descriptors=configured_descriptors
+    ) as program:
+        yield LimitedBalancer(program, holding_server)
     discovery.close()
-    grid.close()
+    holding_server.close()
 
 
-def answer(server: Link, text: str) -> None:
+def send_answer(server: Link, text: str) -> None:
     server.write(f"HTTP/1.1 200 OK\r\nContent-Length: {len(text)}\r\n\r\n{text}")
 
 
-async def served(client: Link, text: str) -> None:
+async def expect_answer(client: Link, text: str) -> None:
     async with asyncio.timeout(ENOUGH_S):
-        got = await client.message()
-    assert got.startswith("HTTP/1.1 200") and got.endswith(text), got
+        received = await client.message()
+    assert received.startswith("HTTP/1.1 200") and received.endswith(text), received
 
 
-async def asked(client: Link, grid: Grid, id: str) -> None:
+async def complete_request(client: Link, holding_server: HoldingServer, id: str) -> None:
     """A request that is served, start to end."""
-    client.write(ASK.format(id=id))
-    answer(await grid.request(), id)
-    await served(client, id)
+    client.write(REQUEST_TEMPLATE.format(id=id))
+    send_answer(await holding_server.next_request(), id)
+    await expect_answer(client, id)
 
 
-async def serves_new(process: Process) -> None:
+async def serve_new_clients(balancer: LimitedBalancer) -> None:
     """More new clients than there are descriptors, once those of the idle ones are free."""
-    await until(lambda: process.descriptors() < SOCKETS // 2, "the idle ones have gone")
-    for number in range(SOCKETS):
-        late = await process.client()
-        await asked(late, process.grid, f"late{number}")
-        late.writer.close()
+    await until(lambda: balancer.open_descriptors() < MAX_DESCRIPTORS // 2, "the idle ones have gone")
+    for number in range(MAX_DESCRIPTORS):
+        late_client = await balancer.client()
+        await complete_request(late_client, balancer.holding_server, f"late{number}")
+        late_client.writer.close()
 
 
-def over(client: socket.socket) -> bool:
+def is_closed(client: socket.socket) -> bool:
     """Has the balancer ended this connection?"""
     try:
         return client.recv(1, socket.MSG_PEEK) == b""
@@ -118,98 +129,98 @@
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
-        async with limited_balancer(tmp_path) as process:
-            grid = process.grid
-            workers = [await process.client() for _ in range(3)]
+        async with limited_balancer(tmp_path) as balancer:
+            holding_server = balancer.holding_server
+            workers = [await balancer.client() for _ in range(3)]
             for number, worker in enumerate(workers):
-                await asked(worker, grid, f"before{number}")
-            process.stop()
-            idle = await idle_clients(process.port, IDLE)
+                await complete_request(worker, holding_server, f"before{number}")
+            balancer.suspend()
+            idle = await idle_clients(balancer.port, IDLE_CLIENT_COUNT)
             for number, worker in enumerate(workers):
-                worker.write(ASK.format(id=f"in{number}"))
-            process.go_on()
+                worker.write(REQUEST_TEMPLATE.format(id=f"in{number}"))
+            balancer.resume()
             # All are at a server at a time: for all but one a connection must be dialled.
-            servers = [await grid.request() for _ in workers]
+            servers = [await holding_server.next_request() for _ in workers]
             assert len({id(server) for server in servers}) == len(workers)
             for server in servers:
-                answer(server, server.last.partition("X-Correlation-Id: ")[2].partition("\r")[0])
+                send_answer(server, server.last.partition("X-Correlation-Id: ")[2].partition("\r")[0])
             for number, worker in enumerate(workers):
-                await served(worker, f"in{number}")
-            began_s, end = process.busy_s(), asyncio.get_running_loop().time() + WATCHED_S
+                await expect_answer(worker, f"in{number}")
+            cpu_before_s, end_s = balancer.cpu_s(), asyncio.get_running_loop().time() + MEASURED_S
             number = 0
-            while asyncio.get_running_loop().time() < end:
+            while asyncio.get_running_loop().time() < end_s:
                 # Where connections are few an answer may be the last on its own; its client comes again.
-                worker = await process.client()
-                await asked(worker, grid, f"meanwhile{number}")
+                worker = await balancer.client()
+                await complete_request(worker, holding_server, f"meanwhile{number}")
                 worker.writer.close()
                 number += 1
-                await asyncio.sleep(WATCHED_S / 10)
-            assert process.busy_s() - began_s < BUSY_MOST_S
-            assert number > 1 and not all(over(client) for client in idle)
+                await asyncio.sleep(MEASURED_S / 10)
+            assert balancer.cpu_s() - cpu_before_s < MAX_CPU_S
+            assert number > 1 and not all(is_closed(client) for client in idle)
             for client in idle:
                 client.close()
-            await serves_new(process)
+            await serve_new_clients(balancer)
 
     run(asyncio.wait_for(main(), 60))
 
 
 def test_accepting_without_descriptors_neither_spins_nor_loses_a_request_that_is_read(tmp_path: Path) -> None:
     async def main() -> None:
-        async with limited_balancer(tmp_path, TOLD_TOO_MANY) as process:
-            grid, loop = process.grid, asyncio.get_running_loop()
+        async with limited_balancer(tmp_path, OVERSTATED_DESCRIPTORS) as balancer:
+            holding_server, loop = balancer.holding_server, asyncio.get_running_loop()
             # Two connections to the server: the one that carried the last answer may not rest yet.
-            worker, other = await process.client(), await process.client()
+            worker, other = await balancer.client(), await balancer.client()
             for client, name in ((worker, "before"), (other, "beside")):
-                client.write(ASK.format(id=name))
-            servers = [await grid.request(), await grid.request()]
+                client.write(REQUEST_TEMPLATE.format(id=name))
+            servers = [await holding_server.next_request(), await holding_server.next_request()]
             for server in servers:
-                answer(server, "warm")
+                send_answer(server, "warm")
             for client in (worker, other):
-                await served(client, "warm")
-            process.stop()
-            idle = await idle_clients(process.port, IDLE)
-            worker.write(ASK.format(id="in"))
-            process.go_on()
-            answer(await grid.request(), "in")
-            await served(worker, "in")
-            began_s, end, number = process.busy_s(), loop.time() + WATCHED_S, 0
-            while loop.time() < end:
-                idle += await idle_clients(process.port, 1)
-                await asked(worker, grid, f"meanwhile{number}")
+                await expect_answer(client, "warm")
+            balancer.suspend()
+            idle = await idle_clients(balancer.port, IDLE_CLIENT_COUNT)
+            worker.write(REQUEST_TEMPLATE.format(id="in"))
+            balancer.resume()
+            send_answer(await holding_server.next_request(), "in")
+            await expect_answer(worker, "in")
+            cpu_before_s, end_s, number = balancer.cpu_s(), loop.time() + MEASURED_S, 0
+            while loop.time() < end_s:
+                idle += await idle_clients(balancer.port, 1)
+                await complete_request(worker, holding_server, f"meanwhile{number}")
                 number += 1
-                await asyncio.sleep(WATCHED_S / 10)
-            assert process.busy_s() - began_s < BUSY_MOST_S
-            assert number > 1 and sum(over(client) for client in idle) >= len(idle) - SOCKETS
+                await asyncio.sleep(MEASURED_S / 10)
+            assert balancer.cpu_s() - cpu_before_s < MAX_CPU_S
+            assert number > 1 and sum(is_closed(client) for client in idle) >= len(idle) - MAX_DESCRIPTORS
             for client in idle:
                 client.close()
-            await serves_new(process)
+            await serve_new_clients(balancer)
 
     run(asyncio.wait_for(main(), 60))
 
 
 def test_idle_clients_past_the_limit_are_closed_longest_idle_first(tmp_path: Path) -> None:
     async def main() -> None:
-        async with limited_balancer(tmp_path) as process:
+        async with limited_balancer(tmp_path) as balancer:
             idle: list[socket.socket] = []
 
-            async def one_more() -> None:
-                idle.extend(await idle_clients(process.port, 1))
+            async def add_idle_client() -> None:
+                idle.extend(await idle_clients(balancer.port, 1))
 
-            async def ends(client: socket.socket) -> None:
+            async def wait_until_closed(client: socket.socket) -> None:
                 async with asyncio.timeout(ENOUGH_S):
-                    while not over(client):
+                    while not is_closed(client):
                         await asyncio.sleep(0.002)
 
-            while not any(over(client) for client in idle):
-                assert len(idle) < SOCKETS
-                await one_more()
+            while not any(is_closed(client) for client in idle):
+                assert len(idle) < MAX_DESCRIPTORS
+                await add_idle_client()
                 await asyncio.sleep(0.005)  # it may come to the limit with any of them
-            for number in range(LATE):
-                await ends(idle[number])
+            for number in range(LATE_CLIENT_COUNT):
+                await wait_until_closed(idle[number])
                 # The newest is looked at first: what is over by then has its elders over before it.
-                gone = [over(client) for client in reversed(idle)][::-1]
-                assert gone == sorted(gone, reverse=True), gone
-                await one_more()
+                closed_in_order = [is_closed(client) for client in reversed(idle)][::-1]
+                assert closed_in_order == sorted(closed_in_order, reverse=True), closed_in_order
+                await add_idle_client()
             for client in idle:
                 client.close()
 
--- a/tests/net/test_client_flood.py
+++ b/tests/net/test_client_flood.py
@@ -12,60 +12,62 @@
 
 import pytest
 from scenario import LIMIT_S, LOOPS, run
-from test_client_closing import ASKED, Plain
-from test_client_leaves import READ, begun, client, over, step, until
+from test_client_closing import HEALTH_REQUEST, BlockingClient
+from test_client_leaves import READ_REQUEST, start_stage, connect_client, stop_stage, step, wait_until
 
 from roadlb.net import client_connection, frontend
 
-READ_MOST = 262_144  # bytes that either loop reads of one connection in one turn
-TURNS = 3  # for the other's request to be read, to be answered, and for the test to see that
-FLOOD = READ_MOST * (TURNS + 2)
-ANSWER = b"HTTP/1.1 "
+MAX_READ_BYTES = 262_144  # bytes that either loop reads of one connection in one turn
+ANSWER_TURNS = 3  # for the other's request to be read, to be answered, and for the test to see that
+FLOOD_BYTES = MAX_READ_BYTES * (ANSWER_TURNS + 2)
+STATUS_LINE_START = b"HTTP/1.1 "
 
 
-async def answers(plain: Plain, count: int, got: bytes = b"") -> int:
+async def count_answers(blocking_client: BlockingClient, count: int, received: bytes = b"") -> int:
     """How many answers come behind what has come, up to so many in all."""
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(LIMIT_S):
-        while got.count(ANSWER) < count:
-            read = await loop.sock_recv(plain.socket, READ_MOST)
+        while received.count(STATUS_LINE_START) < count:
+            read = await loop.sock_recv(blocking_client.socket, MAX_READ_BYTES)
             assert read, "it ended before"
-            got += read
-    return got.count(ANSWER)
+            received += read
+    return received.count(STATUS_LINE_START)
 
 
-def has_answer(plain: Plain) -> bool:
+def has_answer(blocking_client: BlockingClient) -> bool:
     with suppress(BlockingIOError):
-        return bool(plain.socket.recv(1, socket.MSG_PEEK))
+        return bool(blocking_client.socket.recv(1, socket.MSG_PEEK))
     return False
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-@pytest.mark.parametrize("asked", [ASKED, ASKED.replace("healthz", "nothing")])
-def test_a_flood_of_requests_takes_no_turn_from_another_client(asked: str, loop: str) -> None:
+@pytest.mark.parametrize("flood_request", [HEALTH_REQUEST, HEALTH_REQUEST.replace("healthz", "nothing")])
+def test_a_flood_of_requests_takes_no_turn_from_another_client(flood_request: str, loop: str) -> None:
     async def main() -> None:
-        stage = await begun("1")
-        flood, other = Plain(stage), Plain(stage)
-        await until(lambda: len(stage.app.frontend.connections) == 2)
-        count = FLOOD // len(asked)
-        left = flood.fill(asked * count)
-        assert len(left) < len(asked) * count - READ_MOST * TURNS, "the kernel holds enough of it"
-        other.send(ASKED)
+        stage = await start_stage("1")
+        flood, other = BlockingClient(stage), BlockingClient(stage)
+        await wait_until(lambda: len(stage.app.frontend.connections) == 2)
+        count = FLOOD_BYTES // len(flood_request)
+        remaining = flood.send_available(flood_request * count)
+        assert len(remaining) < len(flood_request) * count - MAX_READ_BYTES * ANSWER_TURNS, (
+            "the kernel holds enough of it"
+        )
+        other.send(HEALTH_REQUEST)
         other.socket.setblocking(False)
         while not has_answer(other):
             await asyncio.sleep(0)
-        assert await answers(other, 1) == 1
-        got = b""
+        assert await count_answers(other, 1) == 1
+        received = b""
         with suppress(BlockingIOError):
-            while read := flood.socket.recv(READ_MOST):
-                got += read
-        assert 0 < got.count(ANSWER) < count
-        sending = asyncio.ensure_future(asyncio.get_running_loop().sock_sendall(flood.socket, left))
-        assert await answers(flood, count, got) == count
+            while read := flood.socket.recv(MAX_READ_BYTES):
+                received += read
+        assert 0 < received.count(STATUS_LINE_START) < count
+        sending = asyncio.ensure_future(asyncio.get_running_loop().sock_sendall(flood.socket, remaining))
+        assert await count_answers(flood, count, received) == count
         await sending
         flood.close()
         other.close()
-        await over(stage)
+        await stop_stage(stage)
 
     run(main(), loop)
 
@@ -77,11 +79,11 @@
     monkeypatch.setattr(frontend, "LINGER_S", 100.0)
 
     async def main() -> None:
-        stage = await begun("1")
-        flood = Plain(stage)
-        flood.fill("nonsense\r\n\r\n" + "x" * (client_connection.DISCARDED_MOST * 2))
-        sending = asyncio.ensure_future(flood.go_on(1 << 30))
-        link = await client(stage, "a", READ)
+        stage = await start_stage("1")
+        flood = BlockingClient(stage)
+        flood.send_available("nonsense\r\n\r\n" + "x" * (client_connection.DISCARDED_MOST * 2))
+        sending = asyncio.ensure_future(flood.send_more(1 << 30))
+        link = await connect_client(stage, "a", READ_REQUEST)
         await step(stage, "i1 expect GET")
         await step(stage, "i1 send 200 done")
         await step(stage, "a expect 200 done")
@@ -90,6 +92,6 @@
         sending.cancel()
         link.writer.close()
         flood.close()
-        await over(stage)
+        await stop_stage(stage)
 
     run(main(), loop)
--- a/tests/net/test_flows.py
+++ b/tests/net/test_flows.py
@@ -10,48 +10,50 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-SLOW = settings(derandomize=True, deadline=None, max_examples=120, phases=[Phase.generate])
+FUZZ_SETTINGS = settings(derandomize=True, deadline=None, max_examples=120, phases=[Phase.generate])
 BODY = bytes(i * 7 % 251 for i in range(260_000))
-FORMS = ("length", "chunked", "close")
+FRAMINGS = ("length", "chunked", "close")
 
 
-class Party:
+class ProxiedClient:
     """A client's wire and the wires to nodes, with a balancer between."""
 
     def __init__(self, loop: StubLoop, counters: harness.Recorded) -> None:
         engine = new_engine(Module(), counters)
-        engine.executor = self.instances = new_instances(engine, counters)
+        engine.executor = self.server_side = new_instances(engine, counters)
         self.loop, self.engine, self.counters = loop, engine, counters
         self.client = Wire(loop, new_service_client(engine, counters)())
 
     @property
-    def node(self) -> Wire:
+    def server(self) -> Wire:
         return self.loop.wires[1]
 
-    async def over(self) -> None:
+    async def finish(self) -> None:
         self.client.leave()
         await settle(self.loop)
-        await harness.closed(self.instances)
+        await harness.closed(self.server_side)
         await settle(self.loop)
         assert self.engine.requests_in_flight == 0
 
 
-async def feed(loop: StubLoop, source: Wire, sink: Wire, pieces: list[bytes], pauses: set[int]) -> None:
+async def feed(
+    loop: StubLoop, source: Wire, sink: Wire, pieces: list[bytes], paused_pieces: set[int]
+) -> None:
     """Feed the pieces; the other wire takes nothing for a while before those whose number is in `pauses`."""
     for number, piece in enumerate(pieces):
-        if number in pauses and not sink.end:
+        if number in paused_pieces and not sink.end:
             sink.protocol.pause_writing()
-            begun = bool(sink.written)
+            had_output = bool(sink.written)
             await play(loop, source, [piece], 1)
-            assert source.paused or not begun or number == len(pieces) - 1  # it is not read meanwhile
+            assert source.paused or not had_output or number == len(pieces) - 1  # it is not read meanwhile
             sink.protocol.resume_writing()
             await settle(loop)
         else:
             await play(loop, source, [piece], 1)
 
 
-def cut(data: bytes, places: list[int]) -> list[bytes]:
-    at = sorted({p % (len(data) + 1) for p in places} | {0, len(data)})
+def split_at(data: bytes, offsets: list[int]) -> list[bytes]:
+    at = sorted({p % (len(data) + 1) for p in offsets} | {0, len(data)})
     return [data[a:b] for a, b in zip(at, at[1:], strict=False)]
 
 
@@ -71,63 +73,65 @@
     return body, False
 
 
-def written(form: str, body: bytes, sizes: list[int]) -> tuple[bytes, bytes]:
+def encode_body(framing_kind: str, body: bytes, chunk_offsets: list[int]) -> tuple[bytes, bytes]:
     """The header that frames a body, and the body's bytes."""
-    if form == "length":
+    if framing_kind == "length":
         return b"Content-Length: %d\r\n" % len(body), body
-    if form == "close":
+    if framing_kind == "close":
         return b"", body
-    chunks = b"".join(b"%x;n=%d\r\n%b\r\n" % (len(c), i, c) for i, c in enumerate(cut(body, sizes)) if c)
+    chunks = b"".join(
+        b"%x;n=%d\r\n%b\r\n" % (len(c), i, c) for i, c in enumerate(split_at(body, chunk_offsets)) if c
+    )
     return b"Transfer-Encoding: chunked\r\n", chunks + b"0\r\nX-Trailer: 1\r\n\r\n"
 
 
-PLACES = st.lists(st.integers(0, 10**6), max_size=6)
-PAUSES = st.sets(st.integers(0, 7), max_size=3)
+OFFSETS = st.lists(st.integers(0, 10**6), max_size=6)
+PAUSED_PIECES = st.sets(st.integers(0, 7), max_size=3)
 
 
-@SLOW
+@FUZZ_SETTINGS
 @given(
-    st.sampled_from(FORMS),
+    st.sampled_from(FRAMINGS),
     st.integers(65_537, 260_000),
-    PLACES,
-    PLACES,
-    PAUSES,
+    OFFSETS,
+    OFFSETS,
+    PAUSED_PIECES,
     st.none() | st.integers(0, 10**6),
     st.booleans(),
 )
 def test_an_answer_arrives_as_it_was_sent_or_ends_short_where_anyone_can_see(
-    form: str,
+    framing_kind: str,
     size: int,
-    sizes: list[int],
-    places: list[int],
-    pauses: set[int],
-    breaks: int | None,
+    chunk_offsets: list[int],
+    offsets: list[int],
+    paused_pieces: set[int],
+    break_offset: int | None,
     reset: bool,
 ) -> None:
     body = BODY[:size]
-    framing, sent = written(form, body, sizes)
+    framing, sent = encode_body(framing_kind, body, chunk_offsets)
     whole = b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n" + sent
-    told = whole if breaks is None else whole[: len(whole) - 1 - breaks % len(sent)]
+    transmitted = whole if break_offset is None else whole[: len(whole) - 1 - break_offset % len(sent)]
 
     async def main(loop: StubLoop, counters: harness.Recorded) -> None:
-        party = Party(loop, counters)
+        proxied = ProxiedClient(loop, counters)
         await settle(loop)
-        await play(loop, party.client, [get().encode("latin-1")], 1)
-        await feed(loop, party.node, party.client, cut(told, places), pauses)
-        party.node.leave(reset and breaks is not None)
+        await play(loop, proxied.client, [get().encode("latin-1")], 1)
+        await feed(loop, proxied.server, proxied.client, split_at(transmitted, offsets), paused_pieces)
+        proxied.server.leave(reset and break_offset is not None)
         await settle(loop)
-        got = bytes(party.client.written)
-        served = got.startswith(b"HTTP/1.1 200")
-        arrived, complete = read_body(got) if served else (b"", False)
+        received = bytes(proxied.client.written)
+        served = received.startswith(b"HTTP/1.1 200")
+        arrived, complete = read_body(received) if served else (b"", False)
         assert body.startswith(arrived)
         # A node that closes has told the end of a body with no length, wherever it stands.
-        meant = breaks is None or form == "close" and not reset
-        assert complete == meant and (not meant or served)
-        if meant:
-            assert arrived == (body if breaks is None else body[: len(told) - len(whole)])
+        expects_complete = break_offset is None or framing_kind == "close" and not reset
+        assert complete == expects_complete and (not expects_complete or served)
+        if expects_complete:
+            assert arrived == (body if break_offset is None else body[: len(transmitted) - len(whole)])
         else:
-            assert party.client.end or not served
-        await party.over()
+            assert proxied.client.end or not served
+        await proxied.finish()
         counts = counters["answered.grid-read"], counters["errored.grid-read"]
         assert counts in ((1, 0),) if complete else counts[0] == 0
 
@@ -135,49 +139,63 @@
     assert not faults
 
 
-@SLOW
+@FUZZ_SETTINGS
 @given(
-    st.sampled_from(FORMS[:2]),
+    st.sampled_from(FRAMINGS[:2]),
     st.integers(66_000, 260_000),
-    PLACES,
-    PLACES,
-    PAUSES,
+    OFFSETS,
+    OFFSETS,
+    PAUSED_PIECES,
     st.none() | st.integers(0, 10**6),
-    st.sampled_from(["client", "node"]),
+    st.sampled_from(["client", "server"]),
 )
 def test_an_orders_body_reaches_its_node_as_it_was_sent_or_visibly_unfinished(
-    form: str, size: int, sizes: list[int], places: list[int], pauses: set[int], breaks: int | None, who: str
+    framing_kind: str,
+    size: int,
+    chunk_offsets: list[int],
+    offsets: list[int],
+    paused_pieces: set[int],
+    break_offset: int | None,
+    breaking_side: str,
 ) -> None:
     body = BODY[:size]
-    framing, sent = written(form, body, sizes)
+    framing, sent = encode_body(framing_kind, body, chunk_offsets)
     head = b"POST /order/k HTTP/1.1\r\nHost: x\r\nX-Account: acme\r\nX-Correlation-Id: 7\r\n%b\r\n" % framing
     # All of the hold is there before anything breaks.
-    told = head + (sent if breaks is None else sent[: len(sent) - 1 - breaks % (len(sent) - 65_540)])
+    transmitted = head + (
+        sent if break_offset is None else sent[: len(sent) - 1 - break_offset % (len(sent) - 65_540)]
+    )
 
     async def main(loop: StubLoop, counters: harness.Recorded) -> None:
-        party = Party(loop, counters)
+        proxied = ProxiedClient(loop, counters)
         await settle(loop)
-        await play(loop, party.client, [told[: len(head) + 65_537]], 1)
+        await play(loop, proxied.client, [transmitted[: len(head) + 65_537]], 1)
         if len(loop.wires) > 1:
-            await feed(loop, party.client, party.node, cut(told[len(head) + 65_537 :], places), pauses)
+            await feed(
+                loop,
+                proxied.client,
+                proxied.server,
+                split_at(transmitted[len(head) + 65_537 :], offsets),
+                paused_pieces,
+            )
         else:
-            await play(loop, party.client, [told[len(head) + 65_537 :]], 1)
-        got = b"".join(bytes(wire.written) for wire in loop.wires[1:])
-        if breaks is not None and got:
-            (party.client if who == "client" else party.node).leave(True)
+            await play(loop, proxied.client, [transmitted[len(head) + 65_537 :]], 1)
+        received = b"".join(bytes(wire.written) for wire in loop.wires[1:])
+        if break_offset is not None and received:
+            (proxied.client if breaking_side == "client" else proxied.server).leave(True)
             await settle(loop)
-        arrived, complete = read_body(got) if got else (b"", False)
-        assert body.startswith(arrived) and complete == (breaks is None and bool(got))
-        if breaks is None:
+        arrived, complete = read_body(received) if received else (b"", False)
+        assert body.startswith(arrived) and complete == (break_offset is None and bool(received))
+        if break_offset is None:
             assert arrived == body
-            await play(loop, party.node, [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"], 1)
-            assert bytes(party.client.written).endswith(b"done") and not party.client.end
-        elif got and who == "client":
-            assert party.node.end  # the node must not wait for the rest
-        elif got:
-            assert bytes(party.client.written).startswith((b"HTTP/1.1 503", b"HTTP/1.1 502"))
-            assert b"Connection: close" in party.client.written
-        await party.over()
+            await play(loop, proxied.server, [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"], 1)
+            assert bytes(proxied.client.written).endswith(b"done") and not proxied.client.end
+        elif received and breaking_side == "client":
+            assert proxied.server.end  # the node must not wait for the rest
+        elif received:
+            assert bytes(proxied.client.written).startswith((b"HTTP/1.1 503", b"HTTP/1.1 502"))
+            assert b"Connection: close" in proxied.client.written
+        await proxied.finish()
 
     _, faults = harness.run(main)
     assert not faults
--- a/tests/net/test_slow.py
+++ b/tests/net/test_slow.py
@@ -10,7 +10,7 @@
 from roadlb.net import client_connection, frontend
 
 
-async def connected(loop: StubLoop, counters: Recorded) -> tuple[Wire, Answerer, Any]:
+async def connect_client(loop: StubLoop, counters: Recorded) -> tuple[Wire, Answerer, Any]:
     engine = new_engine(Module(), counters)
     engine.executor = answerer = Answerer(engine, 1)
     client = new_service_client(engine, counters)
@@ -21,7 +21,7 @@
 
 def test_one_that_takes_no_answer_has_no_further_request_begun_and_is_read_up_to_a_bound() -> None:
     async def main(loop: StubLoop, counters: Recorded) -> None:
-        wire, answerer, _ = await connected(loop, counters)
+        wire, answerer, _ = await connect_client(loop, counters)
         wire.feed(get(id=1).encode())
         await settle(loop)
         wire.protocol.pause_writing()
@@ -29,21 +29,21 @@
             wire.feed(get(id=id).encode())
         await settle(loop)
         assert len(answerer.started) == 1 and not wire.paused  # else its close would not be noticed
-        behind = 1 + client_connection.HELD_MOST // len(get(id=6).encode())
-        for id in range(6, 6 + behind):
+        pipelined_count = 1 + client_connection.HELD_MOST // len(get(id=6).encode())
+        for id in range(6, 6 + pipelined_count):
             wire.feed(get(id=id).encode())
         await settle(loop)
-        assert len(answerer.started) == 1 and wire.paused and wire.state[3] < behind
+        assert len(answerer.started) == 1 and wire.paused and wire.state[3] < pipelined_count
         wire.protocol.resume_writing()
         await settle(loop)
-        assert len(answerer.started) == 5 + behind and not wire.paused and not wire.end
+        assert len(answerer.started) == 5 + pipelined_count and not wire.paused and not wire.end
 
     assert run(main)[1] == []
 
 
 def test_one_that_never_takes_its_answer_is_ended() -> None:
     async def main(loop: StubLoop, counters: Recorded) -> None:
-        wire, _, client = await connected(loop, counters)
+        wire, _, client = await connect_client(loop, counters)
         wire.feed(get(id=1).encode())
         await settle(loop)
         wire.protocol.pause_writing()
@@ -69,7 +69,9 @@
             wire.feed(b"x" * 4_096)
         await settle(loop)
         assert len(answerer.started) == 1 and wire.paused
-        left = wire.state[3]
-        assert isinstance(left, int) and left >= 100 - client_connection.HELD_MOST // 4_096 - 1
+        unread_count = wire.state[3]
+        assert (
+            isinstance(unread_count, int) and unread_count >= 100 - client_connection.HELD_MOST // 4_096 - 1
+        )
 
     assert run(main)[1] == []
