--- a/tests/net/limited_program.py
+++ b/tests/net/limited_program.py
@@ -1,4 +1,4 @@
-"""The real program under few descriptors: a process of its own, its log, and clients that only connect."""
+"""Runs the balancer as a process with a low descriptor limit, collects its log, and opens idle clients."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from watching import HEAD, Discovery, line, update
 
 ROOT = Path(__file__).parents[2]
-MAX_DESCRIPTORS = 128  # the process's limit, and the kernel's
-IDLE_CLIENT_COUNT = 300  # clients, all at once: far more than that
-INITIAL_GENERATION = 5  # of the list that discovery begins with
+MAX_DESCRIPTORS = 128  # RLIMIT_NOFILE of the balancer's process, and the limit in its configuration
+IDLE_CLIENT_COUNT = 300  # connected at once; far more than MAX_DESCRIPTORS
+INITIAL_GENERATION = 5  # generation of the first server list that discovery sends
 
 
 def limit_descriptors() -> None:
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class BalancerProcess:
-    """The balancer's process; `log` has what it wrote once it has ended."""
+    """The balancer's process; `log` holds the lines it logged and is filled in after it has ended."""
 
     pid: int
     port: int
@@ -50,8 +50,11 @@
     max_attempts: int,
     configured_descriptors: int = MAX_DESCRIPTORS,
 ) -> AsyncIterator[BalancerProcess]:
-    """A balancer that listens; `told`: how many descriptors its configuration says that it may hold."""
-    # Bound, and never listening, it keeps the port from others' connections till the process listens there.
+    """Runs a balancer and yields it once it listens.
+
+    `configured_descriptors` is the descriptor limit in its configuration, which may exceed the real one.
+    """
+    # A socket that is bound but never listens reserves the port until the process listens there.
     port_holder = socket.socket()
     port_holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     port_holder.bind(("127.0.0.1", 0))
@@ -86,7 +89,7 @@
         log = asyncio.ensure_future(process.stderr.read())
         yield program
     finally:
-        with suppress(ProcessLookupError):  # it ended by itself, which failed the test
+        with suppress(ProcessLookupError):  # the process has already exited, which has failed the test
             process.send_signal(signal.SIGCONT)
             process.terminate()
         await process.wait()
@@ -94,7 +97,7 @@
 
 
 async def idle_clients(port: int, count: int) -> list[socket.socket]:
-    """Connections on which nothing is ever sent."""
+    """Opens connections on which nothing is ever sent."""
     clients = []
     loop = asyncio.get_running_loop()
     for _ in range(count):
--- a/tests/net/record_behaviour.py
+++ b/tests/net/record_behaviour.py
@@ -1,7 +1,8 @@
-"""Writes `behaviour.json`: what becomes of each case of the corpus, as the code that is there has it.
+"""Writes `behaviour.json`: the outcome of each case of the corpus with the present code.
 
-Run as `python tests/net/record_behaviour.py` from the root.  A line a case: its outcome as `harness` tells
-it, or, where that depends on how the bytes were cut up on their way, a list with the whole message's first.
+Run as `python tests/net/record_behaviour.py` from the root.  Each line holds one case: its outcome as
+`harness` reports it, or, if that depends on how the bytes were segmented, a list of the distinct outcomes,
+that of the unsegmented message first.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 BEHAVIOUR_PATH = Path(__file__).with_name("behaviour.json")
 MAX_BYTEWISE_BYTES = 3_000
-SETTLE_TURNS = 20  # turns between two segments: what came first has had its effect
+SETTLE_TURNS = 20  # loop iterations between two segments, so that the first has had its effect
 SIDES: dict[str, tuple[dict[str, bytes], Callable[..., object]]] = {
     "client": (CLIENT, harness.client),
     "node": (NODE, harness.node),
@@ -28,11 +29,11 @@
 
 
 def segmentations(data: bytes) -> Iterator[tuple[list[bytes], int]]:
-    """The message whole, and cut up where it matters: segments, and the turns between them."""
+    """Yields segmentations of the message, each with the number of loop iterations between its segments."""
     yield [data], 1
     if len(data) <= MAX_BYTEWISE_BYTES:
         yield [data[i : i + 1] for i in range(len(data))], 1
-    # Before the last byte, behind each head, and between a body's (or chunk's) data and what follows it.
+    # Cut before the last byte, after each head, and after the data of a body or chunk.
     offset, markers = 0, [marker for marker in (b"body", b"one") if marker in data]
     offsets = [len(data) - 1, *(data.find(marker) + len(marker) for marker in markers)]
     while (offset := data.find(b"\r\n\r\n", offset) + 4) > 3:
@@ -42,7 +43,7 @@
 
 
 def outcomes(side: str, data: bytes) -> list[dict[str, object]]:
-    """Every outcome that cutting it up brings about, the whole message's first."""
+    """Returns the distinct outcomes of all segmentations, that of the unsegmented message first."""
     run_case, distinct_outcomes = SIDES[side][1], []
     for segments, gap in segmentations(data):
         outcome = json.loads(json.dumps(run_case(segments, gap).json()))  # type: ignore[attr-defined]
--- a/tests/net/test_client_closing.py
+++ b/tests/net/test_client_closing.py
@@ -1,6 +1,7 @@
-"""How clients' connections are closed: no answer is destroyed, and what has come whole is answered.
+"""Closing of client connections: no reset destroys an answer, and a request that has arrived is answered.
 
-A `Plain` client is a blocking socket: what it sends is in the kernel before the balancer's next turn.
+A `BlockingClient` sends on a blocking socket, so the data is in the kernel before the balancer's next loop
+iteration.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 CLOSE_HEADER = "Connection: close"
 TRAILING_BYTES = (
     client_connection.DISCARDED_MOST // 2
-)  # bytes behind what is faulty, all of which are thrown away
+)  # bytes after the faulty input, all of which are discarded
 
 
 class BlockingClient:
-    """A client that reads nothing till it is asked to."""
+    """A client that reads nothing until it is asked to."""
 
     def __init__(self, stage: Stage) -> None:
         self.socket = socket.create_connection(("127.0.0.1", stage.app.port))
@@ -34,7 +35,7 @@
         self.socket.sendall(text.encode())
 
     def send_available(self, text: str) -> bytes:
-        """Send as much of it as the kernel takes in this turn; gives the rest."""
+        """Sends as much as the kernel takes without blocking and returns the rest."""
         self.socket.setblocking(False)
         remaining = memoryview(text.encode())
         with suppress(BlockingIOError):
@@ -43,12 +44,12 @@
         return bytes(remaining)
 
     async def send_more(self, byte_count: int) -> None:
-        """Send so many bytes as they are taken; a reset raises."""
+        """Sends `byte_count` bytes as the balancer reads them; raises ConnectionError on a reset."""
         async with asyncio.timeout(LIMIT_S):
             await asyncio.get_running_loop().sock_sendall(self.socket, b"x" * byte_count)
 
     async def read_to_end(self) -> str:
-        """All that comes up to the stream's end; a reset raises."""
+        """Reads to the end of the stream; raises ConnectionError on a reset."""
         self.socket.setblocking(False)
         received, loop = b"", asyncio.get_running_loop()
         async with asyncio.timeout(LIMIT_S):
@@ -74,13 +75,13 @@
 
 
 async def send_answered_request(stage: Stage, blocking_client: BlockingClient) -> None:
-    """Have the connection carry a request, which is answered."""
+    """Sends a request that the balancer answers itself, so that the connection is idle after a request."""
     blocking_client.send(HEALTH_REQUEST)
     await wait_until(lambda: only_connection(stage).asked)
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_no_reset_destroys_a_last_answer_though_its_client_goes_on_sending(loop: str) -> None:
+def test_no_reset_destroys_the_last_answer_while_the_client_keeps_sending(loop: str) -> None:
     async def main(stage: Stage, blocking_client: BlockingClient) -> None:
         blocking_client.send(order_request(1))
         await step(stage, "i1 expect POST")
@@ -107,10 +108,12 @@
         ("GET /grid-read/k HTTP/1.1\r\nHost: x\r\nX-A: " + "x" * 20_000, 431),
     ],
 )
-def test_no_reset_destroys_the_answer_to_input_that_goes_on(sent: str, status: int, loop: str) -> None:
+def test_no_reset_destroys_the_answer_to_rejected_input_that_continues(
+    sent: str, status: int, loop: str
+) -> None:
     async def main(stage: Stage, blocking_client: BlockingClient) -> None:
-        # More than the loop reads in one piece: some of it is in the socket when the answer is written, and a
-        # plain close would be a reset.
+        # More than the loop reads at once: some input is unread in the socket when the answer is written, and
+        # an immediate close would send a reset.
         connection = only_connection(stage)
         blocking_client.send_available(sent + "x" * TRAILING_BYTES)
         await wait_until(lambda: connection.closing_us)
@@ -123,7 +126,7 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_a_client_that_never_closes_and_sends_for_ever_is_closed_within_bounds(loop: str) -> None:
+def test_a_client_that_sends_forever_after_a_rejection_is_closed_within_bounds(loop: str) -> None:
     async def main(stage: Stage, blocking_client: BlockingClient) -> None:
         connection = only_connection(stage)
         blocking_client.send("nonsense\r\n\r\n")
@@ -141,13 +144,13 @@
         await wait_until(lambda: not stage.app.frontend.connections)
         assert connection._discarded <= client_connection.DISCARDED_MOST + (
             1 << 19
-        )  # and two reads of the loop
+        )  # plus two reads of the event loop
 
     run_with_client(loop, "1", main)
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_each_request_in_line_is_answered_and_only_the_last_answer_says_so(loop: str) -> None:
+def test_each_pipelined_request_is_answered_and_only_the_last_answer_announces_the_close(loop: str) -> None:
     async def main(stage: Stage, blocking_client: BlockingClient) -> None:
         blocking_client.send(order_request(1) + order_request(2))
         await step(stage, "i1 expect POST")
@@ -167,7 +170,7 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_a_request_that_has_come_and_is_not_read_yet_is_answered(loop: str) -> None:
+def test_a_request_that_has_arrived_and_is_still_unread_is_answered(loop: str) -> None:
     async def main(stage: Stage, blocking_client: BlockingClient) -> None:
         blocking_client.send(order_request(1))
         await step(stage, "i1 expect POST")
@@ -175,7 +178,7 @@
         exchange = only_connection(stage).exchange
         assert exchange is not None
         blocking_client.send(order_request(2))
-        stage.app.engine._give_up(exchange, "for the test")  # in this turn, as any answer may come
+        stage.app.engine._give_up(exchange, "for the test")  # in this loop iteration, as any answer may come
         await step(stage, "i2 expect POST")
         await step(stage, "i2 send 200 two")
         first, second = (await blocking_client.read_to_end()).split("HTTP/1.1 ")[1:]
@@ -200,7 +203,7 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("close_idle_connections", [sweep_idle, drain_idle, exceed_connection_limit])
-def test_a_resting_connection_is_not_closed_on_a_request_that_has_come(
+def test_an_idle_connection_is_not_closed_if_a_request_has_arrived(
     monkeypatch: pytest.MonkeyPatch, close_idle_connections: Callable[[Stage], None], loop: str
 ) -> None:
     async def main(stage: Stage, blocking_client: BlockingClient) -> None:
@@ -221,7 +224,7 @@
 
 
 def only_open(stage: Stage) -> client_connection.ClientConnection:
-    """The one that has a transport: a test may have announced another, which has none."""
+    """Returns the only connection with a transport, dropping those that a test registered without one."""
     connections = stage.app.frontend.connections
     for connection in [c for c in connections if c.transport is None]:
         del connections[connection]
@@ -229,7 +232,7 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_a_request_whose_rest_has_come_is_not_closed_as_unfinished(loop: str) -> None:
+def test_a_request_whose_remainder_has_arrived_is_not_closed_as_unfinished(loop: str) -> None:
     async def main(stage: Stage, blocking_client: BlockingClient) -> None:
         text = order_request(1)
         blocking_client.send(text[:-2])
@@ -246,7 +249,7 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_a_request_that_crosses_the_end_of_its_resting_connection_never_runs(loop: str) -> None:
+def test_a_request_sent_while_its_idle_connection_is_being_closed_never_runs(loop: str) -> None:
     async def main(stage: Stage, blocking_client: BlockingClient) -> None:
         await send_answered_request(stage, blocking_client)
         connection = only_connection(stage)
@@ -254,7 +257,7 @@
         blocking_client.send(order_request(1))
         assert (await blocking_client.read_to_end()).count(
             "HTTP/1.1"
-        ) == 1  # it ends in good order, and can be sent once more
+        ) == 1  # a clean end, so the client may send it again
         await wait_until(lambda: connection.transport is None)
         assert stage.app.counters["taken"] == 0
 
@@ -262,7 +265,7 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_connections_that_wait_for_their_clients_end_make_room_first(
+def test_lingering_connections_are_closed_first_at_the_connection_limit(
     monkeypatch: pytest.MonkeyPatch, loop: str
 ) -> None:
     monkeypatch.setattr(frontend, "LINGER_S", 100.0)
@@ -281,7 +284,7 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_small_writes_are_not_held_back(loop: str) -> None:
+def test_connections_to_client_and_server_have_tcp_nodelay(loop: str) -> None:
     async def main(stage: Stage, blocking_client: BlockingClient) -> None:
         blocking_client.send(order_request(1))
         await step(stage, "i1 expect POST")
--- a/tests/net/test_client_descriptors.py
+++ b/tests/net/test_client_descriptors.py
@@ -1,6 +1,7 @@
-"""A whole balancer whose descriptors idle clients use up: working clients, servers and order of closing.
+"""A balancer process whose descriptors are exhausted by idle clients.
 
-Stopped while the clients connect, the process finds all of them in its accept queue in one turn.
+Active clients must still be served, and idle ones closed longest idle first.  The process is suspended while
+the clients connect, so that it finds all of them in its accept queue in one loop iteration.
 """
 
 from __future__ import annotations
@@ -23,15 +24,16 @@
 from scenario import Link, run
 from watching import ENOUGH_S, Discovery, entry, until, update
 
-MEASURED_S = 1.0  # over which the process's time on a core is taken
-MAX_CPU_S = 0.5  # a process that spins has all of it
-OVERSTATED_DESCRIPTORS = 1024  # descriptors, to a process that may have SOCKETS: its own limits never bite
-LATE_CLIENT_COUNT = 6  # clients past the limit, one at a time
+MEASURED_S = 1.0  # interval over which the CPU time of the process is measured
+MAX_CPU_S = 0.5  # a busy loop would use all of MEASURED_S
+# Configured for a process that may open only MAX_DESCRIPTORS, so its own limit never applies.
+OVERSTATED_DESCRIPTORS = 1024
+LATE_CLIENT_COUNT = 6  # clients that connect one at a time once the limit is reached
 REQUEST_TEMPLATE = "GET /grid-read/k HTTP/1.1\r\nHost: x\r\nX-Account: acme\r\nX-Correlation-Id: {id}\r\n\r\n"
 
 
 class HoldingServer:
-    """A server that holds each request back till the test answers it."""
+    """A server that queues each request until the test answers it."""
 
     def __init__(self) -> None:
         self.requests: asyncio.Queue[Link] = asyncio.Queue()
@@ -55,7 +57,7 @@
 
 
 class LimitedBalancer:
-    """The balancer, which has few descriptors."""
+    """A balancer process with a low descriptor limit, and the server behind it."""
 
     def __init__(self, program: BalancerProcess, holding_server: HoldingServer) -> None:
         self.pid, self.port, self.holding_server = program.pid, program.port, holding_server
@@ -68,7 +70,7 @@
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
     def cpu_s(self) -> float:
-        """Its time on a core so far."""
+        """Returns the CPU time that the process has used so far."""
         stat_fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(stat_fields[11]) + int(stat_fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -77,7 +79,7 @@
 async def limited_balancer(
     tmp_path: Path, configured_descriptors: int = MAX_DESCRIPTORS
 ) -> AsyncIterator[LimitedBalancer]:
-    """`told`: how many descriptors its configuration says that it may hold."""
+    """Runs a limited balancer with one server; `configured_descriptors` is the limit in its configuration."""
     discovery, holding_server = Discovery(), HoldingServer()
     await discovery.start()
     initial_list = update(INITIAL_GENERATION, entry("s", port=await holding_server.start()), reset=True)
@@ -100,15 +102,15 @@
 
 
 async def complete_request(client: Link, holding_server: HoldingServer, id: str) -> None:
-    """A request that is served, start to end."""
+    """Sends a request, answers it at the server and checks the answer."""
     client.write(REQUEST_TEMPLATE.format(id=id))
     send_answer(await holding_server.next_request(), id)
     await expect_answer(client, id)
 
 
 async def serve_new_clients(balancer: LimitedBalancer) -> None:
-    """More new clients than there are descriptors, once those of the idle ones are free."""
-    await until(lambda: balancer.open_descriptors() < MAX_DESCRIPTORS // 2, "the idle ones have gone")
+    """Serves more new clients than there are descriptors, once those of the idle clients are free."""
+    await until(lambda: balancer.open_descriptors() < MAX_DESCRIPTORS // 2, "the idle connections are closed")
     for number in range(MAX_DESCRIPTORS):
         late_client = await balancer.client()
         await complete_request(late_client, balancer.holding_server, f"late{number}")
@@ -116,7 +118,7 @@
 
 
 def is_closed(client: socket.socket) -> bool:
-    """Has the balancer ended this connection?"""
+    """Tells whether the balancer has closed this connection."""
     try:
         return client.recv(1, socket.MSG_PEEK) == b""
     except BlockingIOError:
@@ -125,7 +127,7 @@
         return True
 
 
-def test_idle_clients_past_the_descriptors_neither_make_it_spin_nor_take_a_working_clients(
+def test_idle_clients_beyond_the_descriptor_limit_neither_cause_a_busy_loop_nor_displace_active_clients(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
@@ -139,7 +141,7 @@
             for number, worker in enumerate(workers):
                 worker.write(REQUEST_TEMPLATE.format(id=f"in{number}"))
             balancer.resume()
-            # All are at a server at a time: for all but one a connection must be dialled.
+            # All requests are at the server at once, so all but one need a new connection to it.
             servers = [await holding_server.next_request() for _ in workers]
             assert len({id(server) for server in servers}) == len(workers)
             for server in servers:
@@ -149,7 +151,7 @@
             cpu_before_s, end_s = balancer.cpu_s(), asyncio.get_running_loop().time() + MEASURED_S
             number = 0
             while asyncio.get_running_loop().time() < end_s:
-                # Where connections are few an answer may be the last on its own; its client comes again.
+                # When connections are scarce an answer may close its connection; each request uses a new one.
                 worker = await balancer.client()
                 await complete_request(worker, holding_server, f"meanwhile{number}")
                 worker.writer.close()
@@ -164,11 +166,13 @@
     run(asyncio.wait_for(main(), 60))
 
 
-def test_accepting_without_descriptors_neither_spins_nor_loses_a_request_that_is_read(tmp_path: Path) -> None:
+def test_accept_without_free_descriptors_neither_busy_loops_nor_loses_a_request_already_read(
+    tmp_path: Path,
+) -> None:
     async def main() -> None:
         async with limited_balancer(tmp_path, OVERSTATED_DESCRIPTORS) as balancer:
             holding_server, loop = balancer.holding_server, asyncio.get_running_loop()
-            # Two connections to the server: the one that carried the last answer may not rest yet.
+            # Open two connections to the server: the one that carried the last answer may not be idle yet.
             worker, other = await balancer.client(), await balancer.client()
             for client, name in ((worker, "before"), (other, "beside")):
                 client.write(REQUEST_TEMPLATE.format(id=name))
@@ -214,10 +218,10 @@
             while not any(is_closed(client) for client in idle):
                 assert len(idle) < MAX_DESCRIPTORS
                 await add_idle_client()
-                await asyncio.sleep(0.005)  # it may come to the limit with any of them
+                await asyncio.sleep(0.005)  # any of them may be the one that reaches the limit
             for number in range(LATE_CLIENT_COUNT):
                 await wait_until_closed(idle[number])
-                # The newest is looked at first: what is over by then has its elders over before it.
+                # Checked from the newest to the oldest: if one is closed, all older ones were closed before.
                 closed_in_order = [is_closed(client) for client in reversed(idle)][::-1]
                 assert closed_in_order == sorted(closed_in_order, reverse=True), closed_in_order
                 await add_idle_client()
--- a/tests/net/test_client_flood.py
+++ b/tests/net/test_client_flood.py
@@ -1,7 +1,7 @@
-"""One client's flood takes no turn from another client.
+"""A flood from one client must not delay another client.
 
-The flood lies in the kernel before the other client's request does; the event loop, which the test shares,
-reads a bounded piece of it in each turn.
+The flood is in the kernel before the other client's request; the event loop, which the test shares, reads a
+bounded part of it per iteration.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 
 from roadlb.net import client_connection, frontend
 
-MAX_READ_BYTES = 262_144  # bytes that either loop reads of one connection in one turn
-ANSWER_TURNS = 3  # for the other's request to be read, to be answered, and for the test to see that
+MAX_READ_BYTES = 262_144  # the most that asyncio or uvloop reads from one connection per iteration
+ANSWER_TURNS = 3  # loop iterations to read the other request, to answer it and for the test to see that
 FLOOD_BYTES = MAX_READ_BYTES * (ANSWER_TURNS + 2)
 STATUS_LINE_START = b"HTTP/1.1 "
 
 
 async def count_answers(blocking_client: BlockingClient, count: int, received: bytes = b"") -> int:
-    """How many answers come behind what has come, up to so many in all."""
+    """Reads on after `received` until `count` answers have arrived in all, and returns how many have."""
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(LIMIT_S):
         while received.count(STATUS_LINE_START) < count:
             read = await loop.sock_recv(blocking_client.socket, MAX_READ_BYTES)
-            assert read, "it ended before"
+            assert read, "the connection ended before all answers had arrived"
             received += read
     return received.count(STATUS_LINE_START)
 
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("flood_request", [HEALTH_REQUEST, HEALTH_REQUEST.replace("healthz", "nothing")])
-def test_a_flood_of_requests_takes_no_turn_from_another_client(flood_request: str, loop: str) -> None:
+def test_a_flood_of_requests_does_not_delay_another_client(flood_request: str, loop: str) -> None:
     async def main() -> None:
         stage = await start_stage("1")
         flood, other = BlockingClient(stage), BlockingClient(stage)
@@ -50,7 +50,7 @@
         count = FLOOD_BYTES // len(flood_request)
         remaining = flood.send_available(flood_request * count)
         assert len(remaining) < len(flood_request) * count - MAX_READ_BYTES * ANSWER_TURNS, (
-            "the kernel holds enough of it"
+            "the kernel must have taken enough of the flood"
         )
         other.send(HEALTH_REQUEST)
         other.socket.setblocking(False)
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_a_flood_that_is_not_http_takes_no_turn_from_another_client(
+def test_a_flood_that_is_not_http_does_not_delay_another_client(
     monkeypatch: pytest.MonkeyPatch, loop: str
 ) -> None:
     monkeypatch.setattr(frontend, "LINGER_S", 100.0)
@@ -87,7 +87,7 @@
         await step(stage, "i1 expect GET")
         await step(stage, "i1 send 200 done")
         await step(stage, "a expect 200 done")
-        assert not sending.done(), "it goes on"
+        assert not sending.done(), "the flood must still be going on"
         assert stage.app.counters["rejected.400"] == 1
         sending.cancel()
         link.writer.close()
--- a/tests/net/test_client_leaves.py
+++ b/tests/net/test_client_leaves.py
@@ -1,6 +1,7 @@
-"""Clients that leave while something of theirs is open, waits, or cannot be read: nothing further begins.
+"""Clients that disconnect while a request is in flight, pipelined or unreadable: no further work starts.
 
-Each order is forced: a party goes on once the balancer's connection stands as the crossing wants it.
+The order of events is forced: each side proceeds once the balancer's connection is in the state that
+the race needs.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 )
 READ_REQUEST = "GET /grid-read/k HTTP/1.1\r\nHost: x\r\nX-Account: acme\r\nX-Correlation-Id: 1\r\n\r\n"
 MAX_KEYS = 20
-PAUSING_BYTES = HELD_MOST + 1  # bytes behind an open request with which reading stops
+PAUSING_BYTES = HELD_MOST + 1  # bytes after an open request that make the balancer stop reading
 CLOSE_KINDS = ["end", "reset", "half-close"]
 
 
@@ -36,14 +37,14 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Wait for what must come."""
+    """Polls until the condition holds; times out after LIMIT_S."""
     async with asyncio.timeout(LIMIT_S):
         while not condition():
             await asyncio.sleep(0.002)
 
 
 async def step(stage: Stage, line: str) -> None:
-    """Play a line of the scenario language, which must come to its end."""
+    """Runs a line of the scenario language; times out after LIMIT_S."""
     await asyncio.wait_for(stage.step(line), LIMIT_S)
 
 
@@ -71,7 +72,7 @@
 
 
 async def stop_stage(stage: Stage) -> None:
-    """End all, and see that no request reached a server but those that were expected."""
+    """Stops everything and checks that no request reached a server beyond the expected ones."""
     for link in stage.links.values():
         link.writer.close()
     await asyncio.wait_for(stage.app.stop(linger_s=0), LIMIT_S)
@@ -99,7 +100,7 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("close_kind", CLOSE_KINDS)
-def test_no_request_behind_is_begun_once_the_client_has_left(close_kind: str, loop: str) -> None:
+def test_no_pipelined_request_starts_once_the_client_has_left(close_kind: str, loop: str) -> None:
     async def main() -> None:
         stage = await start_stage("1")
         link = await connect_client(stage, "a", order_request(1) + order_request(2) + order_request(3))
@@ -116,13 +117,15 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_a_close_in_the_same_turn_as_the_answer_lets_no_request_behind_begin(loop: str) -> None:
-    # The answer ends the first request before the look at paused clients is due.
+def test_no_pipelined_request_starts_if_the_client_closes_in_the_loop_iteration_of_the_answer(
+    loop: str,
+) -> None:
+    # The answer ends the first request before the next periodic check of paused clients.
     async def main() -> None:
         stage = await start_stage("1")
         blocking_client = socket.create_connection(
             ("127.0.0.1", stage.app.port)
-        )  # whose close takes effect at once
+        )  # its close takes effect at once
         blocking_client.sendall((order_request(1) + order_request(2)).encode())
         await step(stage, "i1 expect POST")
         blocking_client.sendall(b"x" * PAUSING_BYTES)
@@ -130,7 +133,7 @@
         exchange = only_connection(stage).exchange
         assert exchange is not None
         blocking_client.close()
-        stage.app.engine._give_up(exchange, "for the test")  # in this turn, as any answer may come
+        stage.app.engine._give_up(exchange, "for the test")  # in this loop iteration, as any answer may come
         assert stage.app.counters["taken"] == 1
         await step(stage, "i1 expect closed")
         await stop_stage(stage)
@@ -140,7 +143,7 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("close_kind", CLOSE_KINDS)
-def test_a_close_is_noticed_behind_input_that_is_not_http(close_kind: str, loop: str) -> None:
+def test_a_close_is_noticed_after_input_that_is_not_http(close_kind: str, loop: str) -> None:
     async def main() -> None:
         stage = await start_stage("1")
         link = await connect_client(stage, "a", order_request(1) + "nonsense\r\n\r\n")
@@ -157,7 +160,7 @@
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("close_kind", CLOSE_KINDS)
 @pytest.mark.parametrize("paused", [False, True])
-def test_a_close_is_noticed_while_a_server_is_dialled(paused: bool, close_kind: str, loop: str) -> None:
+def test_a_close_is_noticed_while_connecting_to_a_server(paused: bool, close_kind: str, loop: str) -> None:
     async def main() -> None:
         stage = await start_stage("0 0 1")
         link = await connect_client(stage, "a", order_request(1))
@@ -175,7 +178,9 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("close_kind", CLOSE_KINDS)
-def test_a_close_in_a_long_body_is_noticed_while_a_server_is_dialled(close_kind: str, loop: str) -> None:
+def test_a_close_within_a_long_body_is_noticed_while_connecting_to_a_server(
+    close_kind: str, loop: str
+) -> None:
     async def main() -> None:
         stage = await start_stage("0 0 1")
         link = await connect_client(stage, "a", order_request(1, 200_000) + "x" * 100_000)
@@ -191,8 +196,8 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("close_kind", CLOSE_KINDS)
-def test_a_close_is_noticed_while_the_client_takes_no_answer(close_kind: str, loop: str) -> None:
-    # uvloop tells of the connection's end only when all that was written is out.
+def test_a_close_is_noticed_while_the_client_does_not_read_its_answer(close_kind: str, loop: str) -> None:
+    # uvloop reports the end of a connection only once all written data has been sent.
     async def main() -> None:
         stage = await start_stage("1")
         link = await connect_client(stage, "a", order_request(1) + order_request(2))
@@ -212,7 +217,7 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("close_kind", CLOSE_KINDS)
-def test_a_burst_of_clients_leaves(close_kind: str, loop: str) -> None:
+def test_many_clients_that_disconnect_at_once_are_all_noticed(close_kind: str, loop: str) -> None:
     async def main() -> None:
         stage, count = await start_stage("1"), 8
         links = [
@@ -234,11 +239,11 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("close_kind", ["end", "reset"])
-def test_no_retry_begins_for_a_client_whose_close_lies_behind_what_allows_it(
+def test_no_retry_starts_if_the_client_closed_just_after_the_answer_that_allows_it(
     close_kind: str, loop: str
 ) -> None:
-    # Both are in the kernel when the loop looks again, the server's answer first: it decides the retry, for
-    # which a connection waits.
+    # The answer and the close are both in the kernel at the loop's next iteration, the answer first: it
+    # decides the retry, for which an idle connection is ready.
     async def main() -> None:
         stage = await start_stage("2")
         pools = stage.app.server_connections.pool
@@ -271,14 +276,14 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("close_kind", CLOSE_KINDS)
-def test_both_attempts_are_cancelled_as_the_client_of_a_second_copy_leaves(
+def test_both_attempts_are_cancelled_when_the_client_leaves_during_a_second_copy(
     close_kind: str, loop: str
 ) -> None:
     async def main() -> None:
         stage = await start_stage("2 second_copies=true")
         link = await connect_client(stage, "a", READ_REQUEST)
         await step(stage, "i1 expect GET")
-        await step(stage, "i2 expect GET")  # no answer has come in time
+        await step(stage, "i2 expect GET")  # the second copy, since no answer came in time
         assert stage.links["i1"].port != stage.links["i2"].port
         disconnect(link, close_kind)
         await step(stage, "i1 expect closed")
@@ -294,17 +299,17 @@
 
 
 def dialling_ports(stage: Stage) -> set[int]:
-    """Where connections are being dialled to."""
+    """Returns the ports to which connections are being opened."""
     return {call.address.port for call in stage.app.server_connections.pool.dialled() if call.address}
 
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("close_kind", CLOSE_KINDS)
-def test_a_close_is_noticed_while_a_retrys_server_is_dialled(close_kind: str, loop: str) -> None:
+def test_a_close_is_noticed_while_connecting_to_the_server_of_a_retry(close_kind: str, loop: str) -> None:
     async def main() -> None:
         stage = await start_stage("1 0 1")
         counters, mute_port = stage.app.counters, stage.mutes[0].getsockname()[1]
-        for number in range(MAX_KEYS):  # till one is first sent to the server that listens
+        for number in range(MAX_KEYS):  # until one is sent first to the server that accepts connections
             link = await connect_client(
                 stage, "a", order_request(number).replace("/order/k", f"/order/k{number}")
             )
--- a/tests/net/test_client_line.py
+++ b/tests/net/test_client_line.py
@@ -1,4 +1,4 @@
-"""A request that waits in line behind another on its connection uses its client's time up."""
+"""The time that a pipelined request waits for the one before it counts against its time left."""
 
 from __future__ import annotations
 
@@ -19,10 +19,8 @@
 ANSWERED_COUNT = 10
 LONG_TIME_LEFT_S = 1.5
 SHORT_TIME_LEFT_S, WAIT_S = 0.2, 0.3
-WAITING_FORMS = [
-    "parsed",
-    "unparsed",
-]  # where the one behind waits: read as a request, or as bytes behind the open one
+# How the pipelined request waits: as a parsed request, or as unparsed bytes after the open one.
+WAITING_FORMS = ["parsed", "unparsed"]
 
 
 def order_within(time_left_s: float) -> str:
@@ -30,7 +28,7 @@
 
 
 async def warmed_stage() -> Stage:
-    """One whose balancer has had answers: it knows that one slow one is no sign of too much work."""
+    """Starts a stage and has some requests answered, so that one slow answer is not taken for overload."""
     stage = await start_stage("1")
     for number in range(ANSWERED_COUNT):
         await step(stage, "b send POST /order/k")
@@ -43,7 +41,7 @@
 
 
 async def pipeline_order(stage: Stage, waiting_form: str, time_left_s: float) -> None:
-    """An open order, and another behind it that has come."""
+    """Sends an order that stays open and pipelines another after it, which has arrived on return."""
     pipelined = order_within(time_left_s)
     link = await connect_client(
         stage, "a", order_request(2) + (pipelined if waiting_form == "parsed" else "")
@@ -58,7 +56,7 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("waiting_form", WAITING_FORMS)
-def test_a_request_whose_time_has_passed_in_line_is_answered_at_once_and_not_sent(
+def test_a_pipelined_request_whose_time_has_expired_is_refused_at_once_and_not_sent(
     waiting_form: str, loop: str
 ) -> None:
     async def main() -> None:
@@ -69,8 +67,8 @@
         await step(stage, "i1 send 200 done")
         await step(stage, "a expect 200 done")
         started_us = clock()
-        await step(stage, "a expect 503")  # a refusal: nothing of it ran
-        assert clock() - started_us < SHORT_TIME_LEFT_S * 1e6 / 2, "it does not wait for its own time again"
+        await step(stage, "a expect 503")  # a refusal: the request did not run
+        assert clock() - started_us < SHORT_TIME_LEFT_S * 1e6 / 2, "its time left must not start anew"
         assert stage.app.counters["sends"] == ANSWERED_COUNT + 1
         await step(stage, "a send POST /order/k")
         await step(stage, "i2 expect POST")
@@ -83,7 +81,7 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("waiting_form", WAITING_FORMS)
-def test_the_time_left_that_a_server_is_told_is_less_by_the_wait_in_line(
+def test_the_forwarded_time_left_is_reduced_by_the_wait_of_a_pipelined_request(
     waiting_form: str, loop: str
 ) -> None:
     async def main() -> None:
--- a/tests/net/test_flows.py
+++ b/tests/net/test_flows.py
@@ -1,4 +1,7 @@
-"""Bodies that flow: what arrives is a beginning of what was sent, and complete exactly when it says so."""
+"""Body streams: what arrives is a prefix of what was sent, and is marked complete only if it is.
+
+Bodies are segmented, paused and broken off at generated offsets, between a client and a server.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 
 class ProxiedClient:
-    """A client's wire and the wires to nodes, with a balancer between."""
+    """A client's wire and the wire to the server, with a balancer between them."""
 
     def __init__(self, loop: StubLoop, counters: harness.Recorded) -> None:
         engine = new_engine(Module(), counters)
@@ -39,13 +42,13 @@
 async def feed(
     loop: StubLoop, source: Wire, sink: Wire, pieces: list[bytes], paused_pieces: set[int]
 ) -> None:
-    """Feed the pieces; the other wire takes nothing for a while before those whose number is in `pauses`."""
+    """Feeds the pieces to `source`; `sink` takes no output during those whose index is in `paused_pieces`."""
     for number, piece in enumerate(pieces):
         if number in paused_pieces and not sink.end:
             sink.protocol.pause_writing()
             had_output = bool(sink.written)
             await play(loop, source, [piece], 1)
-            assert source.paused or not had_output or number == len(pieces) - 1  # it is not read meanwhile
+            assert source.paused or not had_output or number == len(pieces) - 1  # not read meanwhile
             sink.protocol.resume_writing()
             await settle(loop)
         else:
@@ -53,12 +56,12 @@
 
 
 def split_at(data: bytes, offsets: list[int]) -> list[bytes]:
-    at = sorted({p % (len(data) + 1) for p in offsets} | {0, len(data)})
-    return [data[a:b] for a, b in zip(at, at[1:], strict=False)]
+    bounds = sorted({p % (len(data) + 1) for p in offsets} | {0, len(data)})
+    return [data[a:b] for a, b in zip(bounds, bounds[1:], strict=False)]
 
 
 def read_body(data: bytes) -> tuple[bytes, bool]:
-    """A message's body as far as it has come, and whether that says that it is whole."""
+    """Returns the part of a message's body that has arrived, and whether its framing marks it complete."""
     head, _, rest = data.partition(b"\r\n\r\n")
     if b"Transfer-Encoding: chunked" not in head:
         length = int(head.partition(b"Content-Length: ")[2].partition(b"\r\n")[0])
@@ -74,7 +77,7 @@
 
 
 def encode_body(framing_kind: str, body: bytes, chunk_offsets: list[int]) -> tuple[bytes, bytes]:
-    """The header that frames a body, and the body's bytes."""
+    """Returns the header that frames a body, and the encoded body."""
     if framing_kind == "length":
         return b"Content-Length: %d\r\n" % len(body), body
     if framing_kind == "close":
@@ -99,7 +102,7 @@
     st.none() | st.integers(0, 10**6),
     st.booleans(),
 )
-def test_an_answer_arrives_as_it_was_sent_or_ends_short_where_anyone_can_see(
+def test_an_answer_arrives_as_it_was_sent_or_is_visibly_truncated(
     framing_kind: str,
     size: int,
     chunk_offsets: list[int],
@@ -124,7 +127,7 @@
         served = received.startswith(b"HTTP/1.1 200")
         arrived, complete = read_body(received) if served else (b"", False)
         assert body.startswith(arrived)
-        # A node that closes has told the end of a body with no length, wherever it stands.
+        # A close ends a body without a length, wherever it occurs, so such a body counts as complete.
         expects_complete = break_offset is None or framing_kind == "close" and not reset
         assert complete == expects_complete and (not expects_complete or served)
         if expects_complete:
@@ -149,7 +152,7 @@
     st.none() | st.integers(0, 10**6),
     st.sampled_from(["client", "server"]),
 )
-def test_an_orders_body_reaches_its_node_as_it_was_sent_or_visibly_unfinished(
+def test_the_body_of_an_order_reaches_the_server_as_it_was_sent_or_is_visibly_truncated(
     framing_kind: str,
     size: int,
     chunk_offsets: list[int],
@@ -161,7 +164,7 @@
     body = BODY[:size]
     framing, sent = encode_body(framing_kind, body, chunk_offsets)
     head = b"POST /order/k HTTP/1.1\r\nHost: x\r\nX-Account: acme\r\nX-Correlation-Id: 7\r\n%b\r\n" % framing
-    # All of the hold is there before anything breaks.
+    # The break comes after more than the balancer buffers before it forwards a body.
     transmitted = head + (
         sent if break_offset is None else sent[: len(sent) - 1 - break_offset % (len(sent) - 65_540)]
     )
@@ -191,7 +194,7 @@
             await play(loop, proxied.server, [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"], 1)
             assert bytes(proxied.client.written).endswith(b"done") and not proxied.client.end
         elif received and breaking_side == "client":
-            assert proxied.server.end  # the node must not wait for the rest
+            assert proxied.server.end  # the server must not wait for the rest
         elif received:
             assert bytes(proxied.client.written).startswith((b"HTTP/1.1 503", b"HTTP/1.1 502"))
             assert b"Connection: close" in proxied.client.written
--- a/tests/net/test_memory.py
+++ b/tests/net/test_memory.py
@@ -1,4 +1,4 @@
-"""Bodies of 32 MB in both directions, read slowly, in a process that may hold little."""
+"""Bodies of 32 MB in both directions that are read slowly must not be buffered in memory."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from scenario import run
 
 ROOT = Path(__file__).parents[2]
-BODY_BYTES, TRANSFERS_EACH_WAY = 32 << 20, 8  # bytes of a body, and so many of them each way at once: 512 MB
-MAX_GROWTH_MB = 12  # over what the process held before; 4.8 measured
+BODY_BYTES, TRANSFERS_EACH_WAY = 32 << 20, 8  # 16 bodies at once: 512 MB
+MAX_GROWTH_MB = 12  # growth of resident memory over that of the idle process; 4.8 MB is usual
 
 
 async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -27,7 +27,7 @@
                 remaining = int(re.findall(rb"Content-Length: (\d+)", head)[0])
                 while remaining:
                     remaining -= len(await reader.readexactly(min(remaining, 1 << 16)))
-                    await asyncio.sleep(0.0005)  # slower than its client writes
+                    await asyncio.sleep(0.0005)  # slower than the client writes
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
                 continue
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % BODY_BYTES)
@@ -55,7 +55,7 @@
     remaining = 2 if is_order else BODY_BYTES
     while remaining:
         remaining -= len(await reader.readexactly(min(remaining, 1 << 16)))
-        await asyncio.sleep(0.0005)  # slower than its node writes
+        await asyncio.sleep(0.0005)  # slower than the server writes
     writer.close()
 
 
@@ -64,7 +64,7 @@
     return int(re.findall(status_field + r":\s+(\d+) kB", status)[0]) / 1024
 
 
-def test_512_mb_both_ways_cost_some_mb(tmp_path: Path) -> None:
+def test_streaming_512_mb_in_both_directions_grows_memory_by_less_than_12_mb(tmp_path: Path) -> None:
     async def main() -> None:
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         server_entry = {
--- a/tests/net/test_slow.py
+++ b/tests/net/test_slow.py
@@ -1,4 +1,4 @@
-"""Clients that do not take their answers: bounded buffers, no further request begun, an end after a while."""
+"""Clients that do not read their answers: buffers stay bounded, no request starts, a timeout ends them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return wire, answerer, client
 
 
-def test_one_that_takes_no_answer_has_no_further_request_begun_and_is_read_up_to_a_bound() -> None:
+def test_a_client_that_does_not_read_gets_no_further_request_started_and_its_input_is_bounded() -> None:
     async def main(loop: StubLoop, counters: Recorded) -> None:
         wire, answerer, _ = await connect_client(loop, counters)
         wire.feed(get(id=1).encode())
@@ -28,7 +28,9 @@
         for id in range(2, 6):
             wire.feed(get(id=id).encode())
         await settle(loop)
-        assert len(answerer.started) == 1 and not wire.paused  # else its close would not be noticed
+        assert (
+            len(answerer.started) == 1 and not wire.paused
+        )  # reading goes on, or a close would not be noticed
         pipelined_count = 1 + client_connection.HELD_MOST // len(get(id=6).encode())
         for id in range(6, 6 + pipelined_count):
             wire.feed(get(id=id).encode())
@@ -41,7 +43,7 @@
     assert run(main)[1] == []
 
 
-def test_one_that_never_takes_its_answer_is_ended() -> None:
+def test_a_client_that_never_reads_its_answer_is_disconnected() -> None:
     async def main(loop: StubLoop, counters: Recorded) -> None:
         wire, _, client = await connect_client(loop, counters)
         wire.feed(get(id=1).encode())
@@ -57,10 +59,10 @@
     assert run(main)[1] == []
 
 
-def test_what_is_sent_behind_an_open_request_is_kept_within_a_bound() -> None:
+def test_input_after_an_open_request_is_buffered_up_to_a_bound() -> None:
     async def main(loop: StubLoop, counters: Recorded) -> None:
         engine = new_engine(Module(), counters)
-        engine.executor = answerer = Answerer(engine, 10_000)  # never in this test
+        engine.executor = answerer = Answerer(engine, 10_000)  # so no request is answered in this test
         wire = Wire(loop, new_service_client(engine, counters)())
         await settle(loop)
         wire.feed(get(id=1).encode())
