--- a/tests/net/attempt_rig.py
+++ b/tests/net/attempt_rig.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 import uvloop
-from harness import CONFIG, Recorded
+from harness import CONFIG, RecordingCounters
 
 from roadlb.clock import monotonic_us
 from roadlb.config import Address
@@ -168,7 +168,7 @@
     def __init__(self, count: int, receive_buffer: int = 0) -> None:
         self.servers = [Server(receive_buffer) for _ in range(count)]
         self.ids = [b"s%d" % i for i in range(count)]
-        self.counters = Recorded()
+        self.counters = RecordingCounters()
         self.moved_us = 0
         self.decider = Decider(self.ids)
         wheel = TimerWheel(self.clock)
--- a/tests/net/corpus.py
+++ b/tests/net/corpus.py
@@ -1,7 +1,7 @@
-"""The corpus: named messages of clients, valid, odd and hostile (`corpus_nodes` has the answers of nodes).
+"""The corpus: named client messages, valid, unusual and hostile (`corpus_nodes` has the answers of servers).
 
-It is the same bytes every time: parts written by hand, and mixtures from a seeded generator.  What becomes of
-each is recorded in `behaviour.json`.  Texts are latin-1, so that one character is one byte.
+The bytes are the same in every run: some are written by hand, others put together by a seeded generator.  The
+outcome of each is recorded in `behaviour.json`.  Texts are latin-1, so that one character is one byte.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 HOST, ACCOUNT = "Host: x", "X-Account: acme"
 CRLF = "\r\n"
-CLIENT: dict[str, bytes] = {}
+CLIENT_MESSAGES: dict[str, bytes] = {}
 
 
 def request(
@@ -21,7 +21,7 @@
     base: tuple[str, ...] | None = None,
     end: str = CRLF,
 ) -> str:
-    """A request with the headers that each one needs in front, unless `base` says others."""
+    """Build a request that starts with the required headers, or with `base` instead."""
     lines = (HOST, f"X-Correlation-Id: {id}", ACCOUNT) if base is None else base
     return end.join([line, *lines, *headers, "", body])
 
@@ -36,8 +36,8 @@
     return request(f"POST /order/k {version}", *headers, body=body, id=id)
 
 
-def chunked(body: str, id: int = 1, te: str = "Transfer-Encoding: chunked") -> str:
-    return post(te, body=body, id=id)
+def chunked(body: str, id: int = 1, transfer_encoding: str = "Transfer-Encoding: chunked") -> str:
+    return post(transfer_encoding, body=body, id=id)
 
 
 def add(table: dict[str, bytes], group: str, cases: dict[str, str]) -> None:
@@ -46,33 +46,33 @@
         table[f"{group}/{name}"] = text.encode("latin-1")
 
 
-LENGTH_4, CHUNKED = "Content-Length: 4", "Transfer-Encoding: chunked"
-FOUR, LAST = "4\r\nbody\r\n", "0\r\n\r\n"
-SECOND = get(id=2)
-HIDDEN = request("POST /order/hidden HTTP/1.1", "Content-Length: 0", id=66)
+CONTENT_LENGTH_4, CHUNKED = "Content-Length: 4", "Transfer-Encoding: chunked"
+BODY_CHUNK, LAST_CHUNK = "4\r\nbody\r\n", "0\r\n\r\n"
+SECOND_REQUEST = get(id=2)
+HIDDEN_REQUEST = request("POST /order/hidden HTTP/1.1", "Content-Length: 0", id=66)
 GARBAGE = "\x16\x03\x01 garbage\r\n\r\n"
 
 add(
-    CLIENT,
+    CLIENT_MESSAGES,
     "valid",
     {
         "get": get(),
         "get with a query": get(target="/grid-read/a%2Fb//..;x?q=%41&&b=%c3"),
-        "post": post(LENGTH_4, body="body"),
+        "post": post(CONTENT_LENGTH_4, body="body"),
         "post without a body": post(),
         "post of length 0": post("Content-Length: 0"),
-        "chunked": chunked(FOUR + LAST),
-        "chunked, empty": chunked(LAST),
-        "chunked in pieces": chunked("1\r\nb\r\n2\r\nod\r\n1\r\ny\r\n" + LAST),
-        "chunked, hex in both cases": chunked("A\r\n0123456789\r\na\r\n0123456789\r\n" + LAST),
+        "chunked": chunked(BODY_CHUNK + LAST_CHUNK),
+        "chunked, empty": chunked(LAST_CHUNK),
+        "chunked in pieces": chunked("1\r\nb\r\n2\r\nod\r\n1\r\ny\r\n" + LAST_CHUNK),
+        "chunked, hex in both cases": chunked("A\r\n0123456789\r\na\r\n0123456789\r\n" + LAST_CHUNK),
         "chunk extension": chunked("4;a=b;c\r\nbody\r\n0;x\r\n\r\n"),
-        "chunk extension in quotes": chunked('4;a="b;c"\r\nbody\r\n' + LAST),
-        "trailers": chunked(FOUR + "0\r\nX-Sum: 1\r\nX-Account: nobody\r\n\r\n"),
-        "trailer of a framing header": chunked(FOUR + "0\r\nContent-Length: 9\r\n\r\n"),
-        "trailer of an endless size": chunked(FOUR + "0\r\n" + "X: 12345678\r\n" * 2000 + "\r\n"),
+        "chunk extension in quotes": chunked('4;a="b;c"\r\nbody\r\n' + LAST_CHUNK),
+        "trailers": chunked(BODY_CHUNK + "0\r\nX-Sum: 1\r\nX-Account: nobody\r\n\r\n"),
+        "trailer of a framing header": chunked(BODY_CHUNK + "0\r\nContent-Length: 9\r\n\r\n"),
+        "trailer of an endless size": chunked(BODY_CHUNK + "0\r\n" + "X: 12345678\r\n" * 2000 + "\r\n"),
         "zeros in front of a chunk size": chunked("0004\r\nbody\r\n000\r\n\r\n"),
         "healthz": request("GET /healthz HTTP/1.1", base=(HOST,)),
-        "healthz by POST": request("POST /healthz HTTP/1.1", LENGTH_4, base=(HOST,), body="body"),
+        "healthz by POST": request("POST /healthz HTTP/1.1", CONTENT_LENGTH_4, base=(HOST,), body="body"),
         "healthz with a query": request("GET /healthz?x HTTP/1.1", base=(HOST,)),
         "passed on and not": get(
             "X-One: 1",
@@ -90,13 +90,13 @@
         ),
         "hints": get("X-Repeat: 1", "X-Facts: kind=a, expected_us=1500", "X-Time-Left: 0.5"),
         "content type of an order": post("Content-Type: application/json", "Content-Length: 2", body="{}"),
-        "content encoding is passed on": post("Content-Encoding: gzip", LENGTH_4, body="zipp"),
+        "content encoding is passed on": post("Content-Encoding: gzip", CONTENT_LENGTH_4, body="zipp"),
         "body of any bytes": post("Content-Length: 256", body="".join(map(chr, range(256)))),
     },
 )
 
 add(
-    CLIENT,
+    CLIENT_MESSAGES,
     "header",
     {
         "names in any case": request(
@@ -179,12 +179,12 @@
 )
 
 add(
-    CLIENT,
+    CLIENT_MESSAGES,
     "line",
     {
         "1.0": get(version="HTTP/1.0"),
         "1.0 keep-alive": get("Connection: keep-alive", version="HTTP/1.0"),
-        "1.0 with a body": post(LENGTH_4, version="HTTP/1.0", body="body"),
+        "1.0 with a body": post(CONTENT_LENGTH_4, version="HTTP/1.0", body="body"),
         "lower case": get(version="http/1.1"),
         "2.0": get(version="HTTP/2.0"),
         "1.2": get(version="HTTP/1.2"),
@@ -207,7 +207,7 @@
         "asterisk": request("OPTIONS * HTTP/1.1"),
         "asterisk by GET": get(target="*"),
         "CONNECT": request("CONNECT x:80 HTTP/1.1"),
-        "CONNECT and a request behind": request("CONNECT x:80 HTTP/1.1") + SECOND,
+        "CONNECT and a request behind": request("CONNECT x:80 HTTP/1.1") + SECOND_REQUEST,
         "CONNECT to a path": request("CONNECT /grid-read/k HTTP/1.1"),
         "authority-form": get(target="x:80"),
         "relative": get(target="grid-read/k"),
@@ -262,7 +262,7 @@
     },
 )
 
-LENGTHS = {
+CONTENT_LENGTHS = {
     "missing": None,
     "empty": "",
     "negative": "-4",
@@ -293,27 +293,27 @@
     "vertical tab": "4\x0b",
     "quotes": '"4"',
 }
-for name, length in LENGTHS.items():
+for name, length in CONTENT_LENGTHS.items():
     raw = [] if length is None else ["Content-Length: " + length.encode().decode("latin-1")]
-    add(CLIENT, "length", {name: post(*raw, body="body") + SECOND})
+    add(CLIENT_MESSAGES, "length", {name: post(*raw, body="body") + SECOND_REQUEST})
 add(
-    CLIENT,
+    CLIENT_MESSAGES,
     "length",
     {
-        "two alike": post(LENGTH_4, LENGTH_4, body="body") + SECOND,
-        "two different": post(LENGTH_4, "Content-Length: 5", body="body") + SECOND,
-        "two, one empty": post("Content-Length:", LENGTH_4, body="body"),
+        "two alike": post(CONTENT_LENGTH_4, CONTENT_LENGTH_4, body="body") + SECOND_REQUEST,
+        "two different": post(CONTENT_LENGTH_4, "Content-Length: 5", body="body") + SECOND_REQUEST,
+        "two, one empty": post("Content-Length:", CONTENT_LENGTH_4, body="body"),
         "folded": post("Content-Length:", " 4", body="body"),
-        "of a GET": get(LENGTH_4, body="body"),
+        "of a GET": get(CONTENT_LENGTH_4, body="body"),
         "0 of a GET": get("Content-Length: 0"),
-        "of a DELETE": request("DELETE /order/k HTTP/1.1", LENGTH_4, body="body") + SECOND,
-        "of a HEAD": request("HEAD /order/k HTTP/1.1", LENGTH_4, body="body") + SECOND,
+        "of a DELETE": request("DELETE /order/k HTTP/1.1", CONTENT_LENGTH_4, body="body") + SECOND_REQUEST,
+        "of a HEAD": request("HEAD /order/k HTTP/1.1", CONTENT_LENGTH_4, body="body") + SECOND_REQUEST,
         "short by one": post("Content-Length: 5", body="body"),
         "behind a space": post("Content-Length : 4", body="body"),
         "65,536": post("Content-Length: 65536", body="x" * 65_536),
         "65,537": post("Content-Length: 65537", body="x" * 65_537),
         "65,537, announced": post("Content-Length: 65537"),
-        "65,537, and a request behind": post("Content-Length: 65537", body="x" * 65_537) + SECOND,
+        "65,537, and a request behind": post("Content-Length: 65537", body="x" * 65_537) + SECOND_REQUEST,
         "200,000": post("Content-Length: 200000", body="x" * 200_000),
         "65,537 by GET": get("Content-Length: 65537", body="x" * 65_537),
         "too large for a class that is none": request(
@@ -322,7 +322,7 @@
     },
 )
 
-CODINGS = {
+TRANSFER_CODINGS = {
     "chunked": "chunked",
     "Chunked": "Chunked",
     "CHUNKED": "CHUNKED",
@@ -361,165 +361,205 @@
     "none": "none",
     "deflate, gzip, chunked": "deflate, gzip, chunked",
 }
-for name, coding in CODINGS.items():
+for name, coding in TRANSFER_CODINGS.items():
     add(
-        CLIENT,
+        CLIENT_MESSAGES,
         "coding",
         {
-            name: chunked(FOUR + LAST, te="Transfer-Encoding: " + coding) + SECOND,
+            name: chunked(BODY_CHUNK + LAST_CHUNK, transfer_encoding="Transfer-Encoding: " + coding)
+            + SECOND_REQUEST,
             name + ", length in front": post(
-                "Content-Length: 14", "Transfer-Encoding: " + coding, body=FOUR + LAST
+                "Content-Length: 14", "Transfer-Encoding: " + coding, body=BODY_CHUNK + LAST_CHUNK
             )
-            + SECOND,
+            + SECOND_REQUEST,
         },
     )
 add(
-    CLIENT,
+    CLIENT_MESSAGES,
     "coding",
     {
-        "length behind": post(CHUNKED, LENGTH_4, body=FOUR + LAST) + SECOND,
-        "two headers": post(CHUNKED, CHUNKED, body=FOUR + LAST) + SECOND,
-        "two headers, identity first": post("Transfer-Encoding: identity", CHUNKED, body=FOUR + LAST)
-        + SECOND,
-        "two headers, identity last": post(CHUNKED, "Transfer-Encoding: identity", body=FOUR + LAST) + SECOND,
-        "two headers, gzip first": post("Transfer-Encoding: gzip", CHUNKED, body=FOUR + LAST) + SECOND,
-        "in 1.0": post(CHUNKED, version="HTTP/1.0", body=FOUR + LAST) + SECOND,
-        "in 1.0, keep-alive": post(CHUNKED, "Connection: keep-alive", version="HTTP/1.0", body=FOUR + LAST)
-        + SECOND,
-        "in 1.0 with a length": post(CHUNKED, LENGTH_4, version="HTTP/1.0", body="body") + SECOND,
-        "of a GET": get(CHUNKED, body=FOUR + LAST) + SECOND,
-        "of a GET, empty": get(CHUNKED, body=LAST) + SECOND,
-        "of a HEAD": request("HEAD /order/k HTTP/1.1", CHUNKED, body=FOUR + LAST) + SECOND,
-        "behind a space": post("Transfer-Encoding : chunked", body=FOUR + LAST),
-        "behind a tab": post("Transfer-Encoding\t: chunked", body=FOUR + LAST),
-        "underscore": post("Transfer_Encoding: chunked", body=FOUR + LAST),
-        "capitals": post("TRANSFER-ENCODING: chunked", body=FOUR + LAST) + SECOND,
-        "hidden in a bare CR": post("X: y\rTransfer-Encoding: chunked", body=FOUR + LAST),
-        "hidden in a bare LF": post("X: y\nTransfer-Encoding: chunked", body=FOUR + LAST),
-        "named by Connection": post(CHUNKED, "Connection: Transfer-Encoding", body=FOUR + LAST) + SECOND,
-        "length named by Connection": post(LENGTH_4, "Connection: Content-Length", body="body") + SECOND,
+        "length behind": post(CHUNKED, CONTENT_LENGTH_4, body=BODY_CHUNK + LAST_CHUNK) + SECOND_REQUEST,
+        "two headers": post(CHUNKED, CHUNKED, body=BODY_CHUNK + LAST_CHUNK) + SECOND_REQUEST,
+        "two headers, identity first": post(
+            "Transfer-Encoding: identity", CHUNKED, body=BODY_CHUNK + LAST_CHUNK
+        )
+        + SECOND_REQUEST,
+        "two headers, identity last": post(
+            CHUNKED, "Transfer-Encoding: identity", body=BODY_CHUNK + LAST_CHUNK
+        )
+        + SECOND_REQUEST,
+        "two headers, gzip first": post("Transfer-Encoding: gzip", CHUNKED, body=BODY_CHUNK + LAST_CHUNK)
+        + SECOND_REQUEST,
+        "in 1.0": post(CHUNKED, version="HTTP/1.0", body=BODY_CHUNK + LAST_CHUNK) + SECOND_REQUEST,
+        "in 1.0, keep-alive": post(
+            CHUNKED, "Connection: keep-alive", version="HTTP/1.0", body=BODY_CHUNK + LAST_CHUNK
+        )
+        + SECOND_REQUEST,
+        "in 1.0 with a length": post(CHUNKED, CONTENT_LENGTH_4, version="HTTP/1.0", body="body")
+        + SECOND_REQUEST,
+        "of a GET": get(CHUNKED, body=BODY_CHUNK + LAST_CHUNK) + SECOND_REQUEST,
+        "of a GET, empty": get(CHUNKED, body=LAST_CHUNK) + SECOND_REQUEST,
+        "of a HEAD": request("HEAD /order/k HTTP/1.1", CHUNKED, body=BODY_CHUNK + LAST_CHUNK)
+        + SECOND_REQUEST,
+        "behind a space": post("Transfer-Encoding : chunked", body=BODY_CHUNK + LAST_CHUNK),
+        "behind a tab": post("Transfer-Encoding\t: chunked", body=BODY_CHUNK + LAST_CHUNK),
+        "underscore": post("Transfer_Encoding: chunked", body=BODY_CHUNK + LAST_CHUNK),
+        "capitals": post("TRANSFER-ENCODING: chunked", body=BODY_CHUNK + LAST_CHUNK) + SECOND_REQUEST,
+        "hidden in a bare CR": post("X: y\rTransfer-Encoding: chunked", body=BODY_CHUNK + LAST_CHUNK),
+        "hidden in a bare LF": post("X: y\nTransfer-Encoding: chunked", body=BODY_CHUNK + LAST_CHUNK),
+        "named by Connection": post(CHUNKED, "Connection: Transfer-Encoding", body=BODY_CHUNK + LAST_CHUNK)
+        + SECOND_REQUEST,
+        "length named by Connection": post(CONTENT_LENGTH_4, "Connection: Content-Length", body="body")
+        + SECOND_REQUEST,
     },
 )
 
-CHUNKS = {
-    "negative size": "-4\r\nbody\r\n" + LAST,
-    "plus": "+4\r\nbody\r\n" + LAST,
-    "0x": "0x4\r\nbody\r\n" + LAST,
-    "no size": "\r\nbody\r\n" + LAST,
-    "no hex": "z\r\nbody\r\n" + LAST,
-    "hex and more": "4z\r\nbody\r\n" + LAST,
-    "overflow": "F" * 17 + "\r\nbody\r\n" + LAST,
-    "64 bits": "F" * 16 + "\r\nbody\r\n" + LAST,
-    "2^64 + 4": "10000000000000004\r\nbody\r\n" + LAST,
-    "2^32 + 4": "100000004\r\nbody\r\n" + LAST,
-    "many zeros": "0" * 40 + "4\r\nbody\r\n" + LAST,
+CHUNKED_BODIES = {
+    "negative size": "-4\r\nbody\r\n" + LAST_CHUNK,
+    "plus": "+4\r\nbody\r\n" + LAST_CHUNK,
+    "0x": "0x4\r\nbody\r\n" + LAST_CHUNK,
+    "no size": "\r\nbody\r\n" + LAST_CHUNK,
+    "no hex": "z\r\nbody\r\n" + LAST_CHUNK,
+    "hex and more": "4z\r\nbody\r\n" + LAST_CHUNK,
+    "overflow": "F" * 17 + "\r\nbody\r\n" + LAST_CHUNK,
+    "64 bits": "F" * 16 + "\r\nbody\r\n" + LAST_CHUNK,
+    "2^64 + 4": "10000000000000004\r\nbody\r\n" + LAST_CHUNK,
+    "2^32 + 4": "100000004\r\nbody\r\n" + LAST_CHUNK,
+    "many zeros": "0" * 40 + "4\r\nbody\r\n" + LAST_CHUNK,
     "endless zeros": "0" * 40_000,
-    "space in front": " 4\r\nbody\r\n" + LAST,
-    "space behind": "4 \r\nbody\r\n" + LAST,
-    "tab behind": "4\t\r\nbody\r\n" + LAST,
-    "space before an extension": "4 ;a\r\nbody\r\n" + LAST,
-    "LF behind the size": "4\nbody\r\n" + LAST,
-    "LF behind the data": "4\r\nbody\n" + LAST,
+    "space in front": " 4\r\nbody\r\n" + LAST_CHUNK,
+    "space behind": "4 \r\nbody\r\n" + LAST_CHUNK,
+    "tab behind": "4\t\r\nbody\r\n" + LAST_CHUNK,
+    "space before an extension": "4 ;a\r\nbody\r\n" + LAST_CHUNK,
+    "LF behind the size": "4\nbody\r\n" + LAST_CHUNK,
+    "LF behind the data": "4\r\nbody\n" + LAST_CHUNK,
     "LF only": "4\nbody\n0\n\n",
     "CR only": "4\rbody\r0\r\r",
-    "no CRLF behind the data": "4\r\nbody" + LAST,
-    "data too long": "4\r\nbodyx\r\n" + LAST,
-    "data too short": "4\r\nbod\r\n" + LAST,
-    "LF at the end": FOUR + "0\r\n\n",
-    "LF behind the last size": FOUR + "0\n\r\n",
-    "last chunk missing": FOUR,
-    "last CRLF missing": FOUR + "0\r\n",
-    "last chunk cut": FOUR + "0\r",
-    "noise behind the last size": FOUR + "0x\r\n\r\n",
-    "extension with LF": "4;a\nb\r\nbody\r\n" + LAST,
-    "extension with CR": "4;a\rb\r\nbody\r\n" + LAST,
-    "extension with NUL": "4;a\0\r\nbody\r\n" + LAST,
-    "extension of control bytes": "4;\x01\r\nbody\r\n" + LAST,
-    "extension with high bytes": "4;\xe9\r\nbody\r\n" + LAST,
-    "extension without a name": "4;\r\nbody\r\n" + LAST,
-    "extension of 10,000": "4;" + "a" * 10_000 + "\r\nbody\r\n" + LAST,
-    "extension of 100,000": "4;" + "a" * 100_000 + "\r\nbody\r\n" + LAST,
-    "extensions at 2,000 chunks": "1;aaaaaaaaaa\r\nx\r\n" * 2_000 + LAST,
-    "quotes that stay open": '4;a="b\r\nbody\r\n' + LAST,
-    "1,000 chunks of 1": "1\r\nx\r\n" * 1_000 + LAST,
-    "65,536 in chunks": "8000\r\n" + "x" * 32_768 + "\r\n8000\r\n" + "x" * 32_768 + "\r\n" + LAST,
-    "65,537 in chunks": "8000\r\n" + "x" * 32_768 + "\r\n8001\r\n" + "x" * 32_769 + "\r\n" + LAST,
-    "65,537 in one chunk": "10001\r\n" + "x" * 65_537 + "\r\n" + LAST,
-    "200,000 in chunks": ("1000\r\n" + "x" * 4_096 + "\r\n") * 49 + LAST,
-    "trailer without a colon": FOUR + "0\r\nX\r\n\r\n",
-    "trailer folded": FOUR + "0\r\nX: a\r\n b\r\n\r\n",
-    "trailer with a space before the colon": FOUR + "0\r\nX : a\r\n\r\n",
-    "trailer with LF": FOUR + "0\r\nX: a\n\r\n",
-    "trailer with NUL": FOUR + "0\r\nX: a\0\r\n\r\n",
-    "trailer of Transfer-Encoding": FOUR + "0\r\nTransfer-Encoding: chunked\r\n\r\n",
-    "300 trailers": FOUR + "0\r\n" + "X: 1\r\n" * 300 + "\r\n",
-    "a broken one after a good one": FOUR + "zz\r\n",
-    "a request in place of a chunk": FOUR + get(id=3),
+    "no CRLF behind the data": "4\r\nbody" + LAST_CHUNK,
+    "data too long": "4\r\nbodyx\r\n" + LAST_CHUNK,
+    "data too short": "4\r\nbod\r\n" + LAST_CHUNK,
+    "LF at the end": BODY_CHUNK + "0\r\n\n",
+    "LF behind the last size": BODY_CHUNK + "0\n\r\n",
+    "last chunk missing": BODY_CHUNK,
+    "last CRLF missing": BODY_CHUNK + "0\r\n",
+    "last chunk cut": BODY_CHUNK + "0\r",
+    "noise behind the last size": BODY_CHUNK + "0x\r\n\r\n",
+    "extension with LF": "4;a\nb\r\nbody\r\n" + LAST_CHUNK,
+    "extension with CR": "4;a\rb\r\nbody\r\n" + LAST_CHUNK,
+    "extension with NUL": "4;a\0\r\nbody\r\n" + LAST_CHUNK,
+    "extension of control bytes": "4;\x01\r\nbody\r\n" + LAST_CHUNK,
+    "extension with high bytes": "4;\xe9\r\nbody\r\n" + LAST_CHUNK,
+    "extension without a name": "4;\r\nbody\r\n" + LAST_CHUNK,
+    "extension of 10,000": "4;" + "a" * 10_000 + "\r\nbody\r\n" + LAST_CHUNK,
+    "extension of 100,000": "4;" + "a" * 100_000 + "\r\nbody\r\n" + LAST_CHUNK,
+    "extensions at 2,000 chunks": "1;aaaaaaaaaa\r\nx\r\n" * 2_000 + LAST_CHUNK,
+    "quotes that stay open": '4;a="b\r\nbody\r\n' + LAST_CHUNK,
+    "1,000 chunks of 1": "1\r\nx\r\n" * 1_000 + LAST_CHUNK,
+    "65,536 in chunks": "8000\r\n" + "x" * 32_768 + "\r\n8000\r\n" + "x" * 32_768 + "\r\n" + LAST_CHUNK,
+    "65,537 in chunks": "8000\r\n" + "x" * 32_768 + "\r\n8001\r\n" + "x" * 32_769 + "\r\n" + LAST_CHUNK,
+    "65,537 in one chunk": "10001\r\n" + "x" * 65_537 + "\r\n" + LAST_CHUNK,
+    "200,000 in chunks": ("1000\r\n" + "x" * 4_096 + "\r\n") * 49 + LAST_CHUNK,
+    "trailer without a colon": BODY_CHUNK + "0\r\nX\r\n\r\n",
+    "trailer folded": BODY_CHUNK + "0\r\nX: a\r\n b\r\n\r\n",
+    "trailer with a space before the colon": BODY_CHUNK + "0\r\nX : a\r\n\r\n",
+    "trailer with LF": BODY_CHUNK + "0\r\nX: a\n\r\n",
+    "trailer with NUL": BODY_CHUNK + "0\r\nX: a\0\r\n\r\n",
+    "trailer of Transfer-Encoding": BODY_CHUNK + "0\r\nTransfer-Encoding: chunked\r\n\r\n",
+    "300 trailers": BODY_CHUNK + "0\r\n" + "X: 1\r\n" * 300 + "\r\n",
+    "a broken one after a good one": BODY_CHUNK + "zz\r\n",
+    "a request in place of a chunk": BODY_CHUNK + get(id=3),
 }
-add(CLIENT, "chunk", {name: chunked(body) + SECOND for name, body in CHUNKS.items()})
+add(CLIENT_MESSAGES, "chunk", {name: chunked(body) + SECOND_REQUEST for name, body in CHUNKED_BODIES.items()})
 
 add(
-    CLIENT,
+    CLIENT_MESSAGES,
     "smuggling",
     {
-        "CL.TE": post("Content-Length: 5", CHUNKED, body=LAST + HIDDEN),
-        "CL.TE, both whole": post(f"Content-Length: {len(LAST + HIDDEN)}", CHUNKED, body=LAST + HIDDEN),
-        "TE.CL": post(CHUNKED, LENGTH_4, body=f"{len(HIDDEN):x}\r\n{HIDDEN}\r\n" + LAST),
-        "TE.TE, unknown last": post(CHUNKED, "Transfer-Encoding: x", LENGTH_4, body=LAST + HIDDEN),
-        "TE.TE, unknown first": post("Transfer-Encoding: x", CHUNKED, LENGTH_4, body=LAST + HIDDEN),
-        "TE.TE, space": post("Transfer-Encoding : chunked", CHUNKED, body=LAST + HIDDEN),
-        "TE.0": post(CHUNKED, body=HIDDEN),
-        "CL.0": post(f"Content-Length: {len(HIDDEN)}", body=HIDDEN) + SECOND,
-        "0.CL by GET": get(f"Content-Length: {len(HIDDEN)}", body=HIDDEN) + SECOND,
-        "no length at all": post(body=HIDDEN),
-        "GET with a hidden one behind": get(body=HIDDEN),
-        "hidden in a chunk": chunked(f"{len(HIDDEN):x}\r\n{HIDDEN}\r\n" + LAST) + SECOND,
-        "hidden in a chunk extension": chunked(f"4;{HIDDEN}\r\nbody\r\n" + LAST),
-        "hidden in an extension, LF": chunked("2;\nxx\r\n4d\r\n0\r\n\r\n" + HIDDEN + "\r\n" + LAST),
-        "hidden in trailers": chunked(FOUR + "0\r\n" + HIDDEN),
-        "hidden behind a chunk of wrong size": chunked("3\r\nbody\r\n0\r\n\r\n" + HIDDEN),
+        "CL.TE": post("Content-Length: 5", CHUNKED, body=LAST_CHUNK + HIDDEN_REQUEST),
+        "CL.TE, both whole": post(
+            f"Content-Length: {len(LAST_CHUNK + HIDDEN_REQUEST)}", CHUNKED, body=LAST_CHUNK + HIDDEN_REQUEST
+        ),
+        "TE.CL": post(
+            CHUNKED, CONTENT_LENGTH_4, body=f"{len(HIDDEN_REQUEST):x}\r\n{HIDDEN_REQUEST}\r\n" + LAST_CHUNK
+        ),
+        "TE.TE, unknown last": post(
+            CHUNKED, "Transfer-Encoding: x", CONTENT_LENGTH_4, body=LAST_CHUNK + HIDDEN_REQUEST
+        ),
+        "TE.TE, unknown first": post(
+            "Transfer-Encoding: x", CHUNKED, CONTENT_LENGTH_4, body=LAST_CHUNK + HIDDEN_REQUEST
+        ),
+        "TE.TE, space": post("Transfer-Encoding : chunked", CHUNKED, body=LAST_CHUNK + HIDDEN_REQUEST),
+        "TE.0": post(CHUNKED, body=HIDDEN_REQUEST),
+        "CL.0": post(f"Content-Length: {len(HIDDEN_REQUEST)}", body=HIDDEN_REQUEST) + SECOND_REQUEST,
+        "0.CL by GET": get(f"Content-Length: {len(HIDDEN_REQUEST)}", body=HIDDEN_REQUEST) + SECOND_REQUEST,
+        "no length at all": post(body=HIDDEN_REQUEST),
+        "GET with a hidden one behind": get(body=HIDDEN_REQUEST),
+        "hidden in a chunk": chunked(f"{len(HIDDEN_REQUEST):x}\r\n{HIDDEN_REQUEST}\r\n" + LAST_CHUNK)
+        + SECOND_REQUEST,
+        "hidden in a chunk extension": chunked(f"4;{HIDDEN_REQUEST}\r\nbody\r\n" + LAST_CHUNK),
+        "hidden in an extension, LF": chunked(
+            "2;\nxx\r\n4d\r\n0\r\n\r\n" + HIDDEN_REQUEST + "\r\n" + LAST_CHUNK
+        ),
+        "hidden in trailers": chunked(BODY_CHUNK + "0\r\n" + HIDDEN_REQUEST),
+        "hidden behind a chunk of wrong size": chunked("3\r\nbody\r\n0\r\n\r\n" + HIDDEN_REQUEST),
         "hidden in a folded value": get("X: a", " GET /grid-read/hidden HTTP/1.1", " Host: x"),
         "hidden in a header by CR": get("X: a\r\rGET /grid-read/hidden HTTP/1.1\r" + HOST),
         "hidden in a header by LF": get("X: a\n\nGET /grid-read/hidden HTTP/1.1\n" + HOST),
         "hidden in the target": "GET /grid-read/k HTTP/1.1\nX: y HTTP/1.1\r\nHost: x\r\n\r\n",
-        "two lengths": post("Content-Length: 0", f"Content-Length: {len(HIDDEN)}", body=HIDDEN),
-        "length in a list": post(f"Content-Length: 0, {len(HIDDEN)}", body=HIDDEN),
-        "length behind NUL": post("Content-Length: 0\0", body=HIDDEN),
-        "Expect and a hidden one": post("Expect: 100-continue", f"Content-Length: {len(HIDDEN)}", body=HIDDEN)
-        + SECOND,
-        "Expect, obfuscated": post("Expect: y 100-continue", f"Content-Length: {len(HIDDEN)}", body=HIDDEN)
-        + SECOND,
-        "method override": post("X-HTTP-Method-Override: GET", LENGTH_4, body="body") + SECOND,
+        "two lengths": post(
+            "Content-Length: 0", f"Content-Length: {len(HIDDEN_REQUEST)}", body=HIDDEN_REQUEST
+        ),
+        "length in a list": post(f"Content-Length: 0, {len(HIDDEN_REQUEST)}", body=HIDDEN_REQUEST),
+        "length behind NUL": post("Content-Length: 0\0", body=HIDDEN_REQUEST),
+        "Expect and a hidden one": post(
+            "Expect: 100-continue", f"Content-Length: {len(HIDDEN_REQUEST)}", body=HIDDEN_REQUEST
+        )
+        + SECOND_REQUEST,
+        "Expect, obfuscated": post(
+            "Expect: y 100-continue", f"Content-Length: {len(HIDDEN_REQUEST)}", body=HIDDEN_REQUEST
+        )
+        + SECOND_REQUEST,
+        "method override": post("X-HTTP-Method-Override: GET", CONTENT_LENGTH_4, body="body")
+        + SECOND_REQUEST,
         "Upgrade and a hidden one": post(
-            "Connection: Upgrade", "Upgrade: websocket", f"Content-Length: {len(HIDDEN)}", body=HIDDEN
+            "Connection: Upgrade",
+            "Upgrade: websocket",
+            f"Content-Length: {len(HIDDEN_REQUEST)}",
+            body=HIDDEN_REQUEST,
         )
-        + SECOND,
+        + SECOND_REQUEST,
         "h2c and a hidden one": post(
-            "Connection: Upgrade", "Upgrade: h2c", f"Content-Length: {len(HIDDEN)}", body=HIDDEN
+            "Connection: Upgrade",
+            "Upgrade: h2c",
+            f"Content-Length: {len(HIDDEN_REQUEST)}",
+            body=HIDDEN_REQUEST,
         )
-        + SECOND,
+        + SECOND_REQUEST,
         "Upgrade, unknown coding": post(
-            "Connection: Upgrade", "Upgrade: websocket", "Transfer-Encoding: xchunked", body=HIDDEN
+            "Connection: Upgrade", "Upgrade: websocket", "Transfer-Encoding: xchunked", body=HIDDEN_REQUEST
         ),
         "h2c, unknown coding": post(
-            "Connection: Upgrade", "Upgrade: h2c", "Transfer-Encoding: xchunked", body=HIDDEN
+            "Connection: Upgrade", "Upgrade: h2c", "Transfer-Encoding: xchunked", body=HIDDEN_REQUEST
         ),
         "h2c, chunked not last": post(
-            "Connection: Upgrade", "Upgrade: h2c", "Transfer-Encoding: chunked, x", body=HIDDEN
+            "Connection: Upgrade", "Upgrade: h2c", "Transfer-Encoding: chunked, x", body=HIDDEN_REQUEST
         ),
         "rejected with a hidden one": request(
-            "POST /nothing HTTP/1.1", f"Content-Length: {len(HIDDEN)}", body=HIDDEN
+            "POST /nothing HTTP/1.1", f"Content-Length: {len(HIDDEN_REQUEST)}", body=HIDDEN_REQUEST
         )
-        + SECOND,
+        + SECOND_REQUEST,
         "rejected with a hidden chunk": request(
-            "POST /nothing HTTP/1.1", CHUNKED, body=f"{len(HIDDEN):x}\r\n{HIDDEN}\r\n" + LAST
+            "POST /nothing HTTP/1.1",
+            CHUNKED,
+            body=f"{len(HIDDEN_REQUEST):x}\r\n{HIDDEN_REQUEST}\r\n" + LAST_CHUNK,
         )
-        + SECOND,
-        "too large with a hidden one": post("Content-Length: 70000", body=HIDDEN * 900) + SECOND,
+        + SECOND_REQUEST,
+        "too large with a hidden one": post("Content-Length: 70000", body=HIDDEN_REQUEST * 900)
+        + SECOND_REQUEST,
     },
 )
 
-# What a trailer says is no header of its own message, and even less one of the next.
+# A trailer must not act as a header of its own message or of the next.
 for trailer in (
     "X-T: 1",
     "X-Account: nobody",
@@ -536,19 +576,19 @@
     "X-T: 1\r\nX-U: 2",
     "X-T:",
 ):
-    ended = f"{FOUR}0\r\n{trailer}\r\n\r\n"
-    add(CLIENT, "trailer", {trailer.replace(CRLF, ", "): chunked(ended) + SECOND})
+    ended = f"{BODY_CHUNK}0\r\n{trailer}\r\n\r\n"
+    add(CLIENT_MESSAGES, "trailer", {trailer.replace(CRLF, ", "): chunked(ended) + SECOND_REQUEST})
     add(
-        CLIENT,
+        CLIENT_MESSAGES,
         "trailer",
         {
             trailer.replace(CRLF, ", ") + ", in front of an order": chunked(ended)
-            + post(LENGTH_4, body="body", id=2)
+            + post(CONTENT_LENGTH_4, body="body", id=2)
         },
     )
 
 add(
-    CLIENT,
+    CLIENT_MESSAGES,
     "size",
     {
         "head of 16,384": get(*["X-Fill: " + "x" * 990] * 16, "X-Rest: " + "x" * 308),
@@ -568,35 +608,37 @@
         "600 headers": get(*[f"X-{i}: {i}" for i in range(600)]),
         "1,000 CRLFs in front": CRLF * 1_000 + get(),
         "100 requests": "".join(get(id=i) for i in range(1, 101)),
-        "100 orders": "".join(post(LENGTH_4, body="body", id=i) for i in range(1, 101)),
+        "100 orders": "".join(post(CONTENT_LENGTH_4, body="body", id=i) for i in range(1, 101)),
     },
 )
 
 add(
-    CLIENT,
+    CLIENT_MESSAGES,
     "expect",
     {
-        "100-continue": post("Expect: 100-continue", LENGTH_4),
-        "100-continue, and the body": post("Expect: 100-continue", LENGTH_4, body="body"),
-        "in capitals": post("Expect: 100-CONTINUE", LENGTH_4, body="body"),
+        "100-continue": post("Expect: 100-continue", CONTENT_LENGTH_4),
+        "100-continue, and the body": post("Expect: 100-continue", CONTENT_LENGTH_4, body="body"),
+        "in capitals": post("Expect: 100-CONTINUE", CONTENT_LENGTH_4, body="body"),
         "chunked": post("Expect: 100-continue", CHUNKED),
-        "chunked, and the body": post("Expect: 100-continue", CHUNKED, body=FOUR + LAST),
+        "chunked, and the body": post("Expect: 100-continue", CHUNKED, body=BODY_CHUNK + LAST_CHUNK),
         "without a body": post("Expect: 100-continue"),
         "of a GET": get("Expect: 100-continue"),
-        "in 1.0": post("Expect: 100-continue", LENGTH_4, version="HTTP/1.0", body="body"),
+        "in 1.0": post("Expect: 100-continue", CONTENT_LENGTH_4, version="HTTP/1.0", body="body"),
         "of too large a body": post("Expect: 100-continue", "Content-Length: 70000"),
-        "of a class that is none": request("POST /nothing HTTP/1.1", "Expect: 100-continue", LENGTH_4),
-        "of a wrong method": request("GET /order/k HTTP/1.1", "Expect: 100-continue", LENGTH_4),
-        "something else": post("Expect: 200-ok", LENGTH_4, body="body"),
-        "a list": post("Expect: 100-continue, x", LENGTH_4, body="body"),
-        "twice": post("Expect: 100-continue", "Expect: 100-continue", LENGTH_4, body="body"),
-        "empty": post("Expect:", LENGTH_4, body="body"),
-        "and a second request": post("Expect: 100-continue", LENGTH_4, body="body") + SECOND,
-        "behind another request": get() + post("Expect: 100-continue", LENGTH_4, id=2),
+        "of a class that is none": request(
+            "POST /nothing HTTP/1.1", "Expect: 100-continue", CONTENT_LENGTH_4
+        ),
+        "of a wrong method": request("GET /order/k HTTP/1.1", "Expect: 100-continue", CONTENT_LENGTH_4),
+        "something else": post("Expect: 200-ok", CONTENT_LENGTH_4, body="body"),
+        "a list": post("Expect: 100-continue, x", CONTENT_LENGTH_4, body="body"),
+        "twice": post("Expect: 100-continue", "Expect: 100-continue", CONTENT_LENGTH_4, body="body"),
+        "empty": post("Expect:", CONTENT_LENGTH_4, body="body"),
+        "and a second request": post("Expect: 100-continue", CONTENT_LENGTH_4, body="body") + SECOND_REQUEST,
+        "behind another request": get() + post("Expect: 100-continue", CONTENT_LENGTH_4, id=2),
     },
 )
 
-UPGRADES = {
+UPGRADE_HEADERS = {
     "websocket": (
         "Connection: Upgrade",
         "Upgrade: websocket",
@@ -611,20 +653,21 @@
     "empty": ("Connection: Upgrade", "Upgrade:"),
     "keep-alive too": ("Connection: keep-alive, Upgrade", "Upgrade: websocket"),
 }
-for name, headers in UPGRADES.items():
+for name, headers in UPGRADE_HEADERS.items():
     add(
-        CLIENT,
+        CLIENT_MESSAGES,
         "upgrade",
         {
             name: get(*headers),
-            name + ", a request behind": get(*headers) + SECOND,
+            name + ", a request behind": get(*headers) + SECOND_REQUEST,
             name + ", garbage behind": get(*headers) + "\x81\x05hello",
-            name + ", of an order": post(*headers, LENGTH_4, body="body") + SECOND,
-            name + ", of a chunked order": post(*headers, CHUNKED, body=FOUR + LAST) + SECOND,
+            name + ", of an order": post(*headers, CONTENT_LENGTH_4, body="body") + SECOND_REQUEST,
+            name + ", of a chunked order": post(*headers, CHUNKED, body=BODY_CHUNK + LAST_CHUNK)
+            + SECOND_REQUEST,
         },
     )
 
-CONNECTIONS = {
+CONNECTION_VALUES = {
     "close": "close",
     "Close": "Close",
     "keep-alive": "keep-alive",
@@ -644,56 +687,61 @@
     "closex": "closex",
     "close;": "close;",
 }
-for name, value in CONNECTIONS.items():
-    add(CLIENT, "connection", {name: get(f"Connection: {value}", "X-One: 1", "X-Two: 2") + SECOND})
+for name, value in CONNECTION_VALUES.items():
+    add(
+        CLIENT_MESSAGES,
+        "connection",
+        {name: get(f"Connection: {value}", "X-One: 1", "X-Two: 2") + SECOND_REQUEST},
+    )
 add(
-    CLIENT,
+    CLIENT_MESSAGES,
     "connection",
     {
-        "close in two headers": get("Connection: X-One", "Connection: close", "X-One: 1") + SECOND,
+        "close in two headers": get("Connection: X-One", "Connection: close", "X-One: 1") + SECOND_REQUEST,
         "named in two headers": get("Connection: X-One", "Connection: X-Two", "X-One: 1", "X-Two: 2")
-        + SECOND,
-        "keep-alive in two headers": get("Connection: close", "Connection: keep-alive") + SECOND,
-        "close of an order": post("Connection: close", LENGTH_4, body="body") + SECOND,
-        "close in 1.0": get("Connection: close", version="HTTP/1.0") + SECOND,
-        "keep-alive in 1.0": get("Connection: keep-alive", version="HTTP/1.0") + SECOND,
-        "1.0 and a second": get(version="HTTP/1.0") + SECOND,
-        "Proxy-Connection": get("Proxy-Connection: close") + SECOND,
-        "close of what is rejected": request("GET /nothing HTTP/1.1", "Connection: close") + SECOND,
-        "rejected and a second": request("GET /nothing HTTP/1.1") + SECOND,
-        "rejected in 1.0": request("GET /nothing HTTP/1.0") + SECOND,
-        "wrong body of a GET and a second": get(LENGTH_4, body="body") + SECOND,
+        + SECOND_REQUEST,
+        "keep-alive in two headers": get("Connection: close", "Connection: keep-alive") + SECOND_REQUEST,
+        "close of an order": post("Connection: close", CONTENT_LENGTH_4, body="body") + SECOND_REQUEST,
+        "close in 1.0": get("Connection: close", version="HTTP/1.0") + SECOND_REQUEST,
+        "keep-alive in 1.0": get("Connection: keep-alive", version="HTTP/1.0") + SECOND_REQUEST,
+        "1.0 and a second": get(version="HTTP/1.0") + SECOND_REQUEST,
+        "Proxy-Connection": get("Proxy-Connection: close") + SECOND_REQUEST,
+        "close of what is rejected": request("GET /nothing HTTP/1.1", "Connection: close") + SECOND_REQUEST,
+        "rejected and a second": request("GET /nothing HTTP/1.1") + SECOND_REQUEST,
+        "rejected in 1.0": request("GET /nothing HTTP/1.0") + SECOND_REQUEST,
+        "wrong body of a GET and a second": get(CONTENT_LENGTH_4, body="body") + SECOND_REQUEST,
     },
 )
 
-PARTNERS = {
+PAIR_PARTS = {
     "get": get,
-    "post": lambda id: post(LENGTH_4, body="body", id=id),
-    "chunked": lambda id: chunked(FOUR + LAST, id=id),
+    "post": lambda id: post(CONTENT_LENGTH_4, body="body", id=id),
+    "chunked": lambda id: chunked(BODY_CHUNK + LAST_CHUNK, id=id),
     "garbage": lambda id: GARBAGE,
     "rejected": lambda id: request("GET /nothing HTTP/1.1", id=id),
-    "two lengths": lambda id: post(LENGTH_4, CHUNKED, body=FOUR + LAST, id=id),
+    "two lengths": lambda id: post(CONTENT_LENGTH_4, CHUNKED, body=BODY_CHUNK + LAST_CHUNK, id=id),
     "half": lambda id: get(id=id)[:30],
     "no id": lambda id: request("GET /grid-read/k HTTP/1.1", HOST, ACCOUNT, base=()),
     "bad chunk": lambda id: chunked("zz\r\n", id=id),
     "CRLFs": lambda id: CRLF * 2,
 }
-for first, make_first in PARTNERS.items():
-    for second, make_second in PARTNERS.items():
-        add(CLIENT, "pair", {f"{first} + {second}": make_first(id=1) + make_second(id=2)})
+for first, make_first in PAIR_PARTS.items():
+    for second, make_second in PAIR_PARTS.items():
+        add(CLIENT_MESSAGES, "pair", {f"{first} + {second}": make_first(id=1) + make_second(id=2)})
 
 add(
-    CLIENT,
+    CLIENT_MESSAGES,
     "fault",
     {
         "unknown class": get(target="/other/k"),
         "GET of an order": request("GET /order/k HTTP/1.1"),
         "POST of a read": request("POST /grid-read/k HTTP/1.1"),
-        "POST of a read, with a body": request("POST /grid-read/k HTTP/1.1", LENGTH_4, body="body") + SECOND,
+        "POST of a read, with a body": request("POST /grid-read/k HTTP/1.1", CONTENT_LENGTH_4, body="body")
+        + SECOND_REQUEST,
         "DELETE": request("DELETE /order/k HTTP/1.1"),
         "HEAD": request("HEAD /grid-read/k HTTP/1.1"),
-        "HEAD and a second": request("HEAD /grid-read/k HTTP/1.1") + SECOND,
-        "PUT": request("PUT /order/k HTTP/1.1", LENGTH_4, body="body") + SECOND,
+        "HEAD and a second": request("HEAD /grid-read/k HTTP/1.1") + SECOND_REQUEST,
+        "PUT": request("PUT /order/k HTTP/1.1", CONTENT_LENGTH_4, body="body") + SECOND_REQUEST,
         "OPTIONS": request("OPTIONS /order/k HTTP/1.1"),
         "no id": request("GET /grid-read/k HTTP/1.1", HOST, ACCOUNT, base=()),
         "empty id": request("GET /grid-read/k HTTP/1.1", HOST, ACCOUNT, "X-Correlation-Id:", base=()),
@@ -705,8 +753,8 @@
             "GET /grid-read/k HTTP/1.1", HOST, "X-Correlation-Id: 1", "X-Account: ACME", base=()
         ),
         "the same id again": get() + get(),
-        "a GET with a body": get(LENGTH_4, body="body"),
-        "a GET with a chunked body": get(CHUNKED, body=FOUR + LAST),
+        "a GET with a body": get(CONTENT_LENGTH_4, body="body"),
+        "a GET with a chunked body": get(CHUNKED, body=BODY_CHUNK + LAST_CHUNK),
         "id of 5,000": request(
             "GET /grid-read/k HTTP/1.1", HOST, "X-Correlation-Id: " + "7" * 5_000, ACCOUNT, base=()
         ),
@@ -721,14 +769,14 @@
 TIMES = "1 0.5 0.005 0 -1 nan inf -inf 1e-3 1e3 3600 3601 1e400 soon 1,0 1s 0x1 1_0 +1 .5 5. 1e --1".split()
 for value in (*TIMES, "", " 1 ", "1 2", "\u0661", "1\xa0", "1" * 400):
     named = value.encode("unicode_escape").decode() if len(value) < 50 else "400 digits"
-    add(CLIENT, "time left", {repr(named): get("X-Time-Left: " + value.encode().decode("latin-1"))})
+    add(CLIENT_MESSAGES, "time left", {repr(named): get("X-Time-Left: " + value.encode().decode("latin-1"))})
 FACTS = ["=1500", "=", "=-5", "=nan", "=1e400", " = 9 ", "=7,expected_us=8", "", "=1_000", "=1e18", "=1.9"]
 for facts in (*("expected_us" + value for value in FACTS), "a=1,expected_us=7", "EXPECTED_US=5", "=,="):
-    add(CLIENT, "facts", {facts: get("X-Facts: " + facts)})
+    add(CLIENT_MESSAGES, "facts", {facts: get("X-Facts: " + facts)})
 for value in ("1", "0", "", "true", "01", "1, 1"):
-    add(CLIENT, "repeat", {repr(value): get(f"X-Repeat: {value}")})
+    add(CLIENT_MESSAGES, "repeat", {repr(value): get(f"X-Repeat: {value}")})
 
-GET, POST, CHUNKED_POST = get(), post(LENGTH_4, body="body"), chunked(FOUR + LAST)
+GET, POST, CHUNKED_POST = get(), post(CONTENT_LENGTH_4, body="body"), chunked(BODY_CHUNK + LAST_CHUNK)
 for group, whole in (("get", GET), ("post", POST), ("chunked", CHUNKED_POST)):
     head = whole.index("\r\n\r\n")
     cuts = {
@@ -743,19 +791,19 @@
     }
     if group != "get":
         cuts |= {"behind the head": head + 4, "in the body": head + 7, "before the last byte": len(whole) - 1}
-    add(CLIENT, "cut", {f"{group}, {name}": whole[:at] for name, at in cuts.items()})
+    add(CLIENT_MESSAGES, "cut", {f"{group}, {name}": whole[:at] for name, at in cuts.items()})
 
 
-# Mixtures
+# Generated messages
 
 
-def mixtures() -> None:
-    """Messages of parts put together by chance, always the same; most parts are valid."""
-    # `random()` alone gives the same numbers in every version of Python.
-    chance = random.Random(9112).random
+def add_mixtures() -> None:
+    """Add messages of parts chosen by a seeded generator; most parts are valid."""
+    # Of all methods only `random()` gives the same numbers in every version of Python.
+    random_number = random.Random(9112).random
 
-    def one(parts: list[str]) -> str:
-        return parts[int(chance() * len(parts))]
+    def pick(parts: list[str]) -> str:
+        return parts[int(random_number() * len(parts))]
 
     lines = (
         ["GET /grid-read/k HTTP/1.1"] * 6
@@ -769,14 +817,14 @@
     )
     framings = (
         [("Content-Length: 4", "body")] * 4
-        + [(CHUNKED, FOUR + LAST)] * 4
+        + [(CHUNKED, BODY_CHUNK + LAST_CHUNK)] * 4
         + [("X: y", "")] * 3
         + [
-            (CHUNKED + CRLF + LENGTH_4, FOUR + LAST),
-            ("Transfer-Encoding: gzip, chunked", FOUR + LAST),
-            (CHUNKED, "5\r\nbody\r\n" + LAST),
+            (CHUNKED + CRLF + CONTENT_LENGTH_4, BODY_CHUNK + LAST_CHUNK),
+            ("Transfer-Encoding: gzip, chunked", BODY_CHUNK + LAST_CHUNK),
+            (CHUNKED, "5\r\nbody\r\n" + LAST_CHUNK),
             ("Content-Length: 3", "body"),
-            ("Transfer-Encoding: Chunked", FOUR + LAST),
+            ("Transfer-Encoding: Chunked", BODY_CHUNK + LAST_CHUNK),
         ]
     )
     others = [
@@ -799,11 +847,11 @@
     ]
     for i in range(60):
         text = ""
-        for id in range(1, 2 + int(chance() * 3)):
-            framing, body = framings[int(chance() * len(framings))]
-            headers = [one(others) for _ in range(int(chance() * 3))] + [framing]
-            text += request(one(lines), *headers, body=body, id=id)
-        add(CLIENT, "mix", {f"{i:02}": text})
+        for id in range(1, 2 + int(random_number() * 3)):
+            framing, body = framings[int(random_number() * len(framings))]
+            headers = [pick(others) for _ in range(int(random_number() * 3))] + [framing]
+            text += request(pick(lines), *headers, body=body, id=id)
+        add(CLIENT_MESSAGES, "mix", {f"{i:02}": text})
 
 
-mixtures()
+add_mixtures()
--- a/tests/net/corpus_nodes.py
+++ b/tests/net/corpus_nodes.py
@@ -4,7 +4,18 @@
 
 import random
 
-from corpus import CHUNKED, CHUNKS, CODINGS, CONNECTIONS, CRLF, FOUR, LAST, LENGTH_4, LENGTHS, add
+from corpus import (
+    CHUNKED,
+    CHUNKED_BODIES,
+    TRANSFER_CODINGS,
+    CONNECTION_VALUES,
+    CRLF,
+    BODY_CHUNK,
+    LAST_CHUNK,
+    CONTENT_LENGTH_4,
+    CONTENT_LENGTHS,
+    add,
+)
 
 NODE: dict[str, bytes] = {}
 
@@ -27,9 +38,9 @@
         "200, empty": answer(),
         "200 without a reason": answer(status="200", body="one"),
         "200 with an empty reason": answer(status="200 ", body="one"),
-        "chunked": answer(CHUNKED, body=BODY_3 + LAST, length=False),
-        "chunked, empty": answer(CHUNKED, body=LAST, length=False),
-        "chunked in pieces": answer(CHUNKED, body="1\r\no\r\n2;x=y\r\nne\r\n" + LAST, length=False),
+        "chunked": answer(CHUNKED, body=BODY_3 + LAST_CHUNK, length=False),
+        "chunked, empty": answer(CHUNKED, body=LAST_CHUNK, length=False),
+        "chunked in pieces": answer(CHUNKED, body="1\r\no\r\n2;x=y\r\nne\r\n" + LAST_CHUNK, length=False),
         "chunked with trailers": answer(CHUNKED, body=BODY_3 + "0\r\nX-T: 1\r\n\r\n", length=False),
         "headers": answer(
             "Content-Type: text/x",
@@ -59,7 +70,7 @@
         "65,536": answer(body="x" * 65_536),
         "65,536 in chunks": answer(
             CHUNKED,
-            body="8000\r\n" + "x" * 32_768 + "\r\n8000\r\n" + "x" * 32_768 + "\r\n" + LAST,
+            body="8000\r\n" + "x" * 32_768 + "\r\n8000\r\n" + "x" * 32_768 + "\r\n" + LAST_CHUNK,
             length=False,
         ),
     },
@@ -86,7 +97,7 @@
         "101": "HTTP/1.1 101 Go\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\nx",
         "101 without Upgrade": "HTTP/1.1 101 Go\r\n\r\n" + ONE,
         "101 behind 103": EARLY + "HTTP/1.1 101 Go\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n",
-        "chunked": "HTTP/1.1 103 Early Hints\r\n" + CHUNKED + "\r\n\r\n" + LAST + ONE,
+        "chunked": "HTTP/1.1 103 Early Hints\r\n" + CHUNKED + "\r\n\r\n" + LAST_CHUNK + ONE,
         "199": "HTTP/1.1 199 Odd\r\n\r\n" + ONE,
         "behind the answer": ONE + EARLY,
         "noise behind": EARLY + "noise\r\n\r\n",
@@ -109,7 +120,7 @@
         NODE,
         "status",
         {
-            f"{code}, chunked": answer(CHUNKED, status=status, body=BODY_3 + LAST, length=False),
+            f"{code}, chunked": answer(CHUNKED, status=status, body=BODY_3 + LAST_CHUNK, length=False),
             f"{code}, length without a body": answer("Content-Length: 3", status=status, length=False),
             f"{code}, and a second": answer(status=status, length=False) + ONE,
         },
@@ -158,12 +169,12 @@
         "LF line ends, and a second": (ONE + ONE).replace(CRLF, "\n"),
         "LF line ends, and a second with CRLF": ONE.replace(CRLF, "\n") + ONE,
         "LF line ends without a length": answer(body="one", length=False).replace(CRLF, "\n"),
-        "LF line ends, two lengths": answer(CHUNKED, LENGTH_4, body=FOUR + LAST, length=False).replace(
-            CRLF, "\n", 4
-        ),
-        "LF line ends, two lengths alike": answer(LENGTH_4, LENGTH_4, body="body", length=False).replace(
-            CRLF, "\n"
-        ),
+        "LF line ends, two lengths": answer(
+            CHUNKED, CONTENT_LENGTH_4, body=BODY_CHUNK + LAST_CHUNK, length=False
+        ).replace(CRLF, "\n", 4),
+        "LF line ends, two lengths alike": answer(
+            CONTENT_LENGTH_4, CONTENT_LENGTH_4, body="body", length=False
+        ).replace(CRLF, "\n"),
         "LF line ends, 20,000": answer(body="x" * 20_000).replace(CRLF, "\n"),
         "LF line ends, 102 in front": "HTTP/1.1 102 P\n\n" + ONE,
         "LF line ends": ONE.replace(CRLF, "\n"),
@@ -175,17 +186,17 @@
         "HTTP/2 settings": "\0\0\0\x04\0\0\0\0\0",
     },
 )
-for name, length in LENGTHS.items():
+for name, length in CONTENT_LENGTHS.items():
     raw = [] if length is None else ["Content-Length: " + length.encode().decode("latin-1")]
     add(NODE, "length", {name: answer(*raw, body="body", length=False)})
 add(
     NODE,
     "length",
     {
-        "two alike": answer(LENGTH_4, LENGTH_4, body="body", length=False),
-        "two different": answer(LENGTH_4, "Content-Length: 5", body="body", length=False),
-        "and chunks": answer(LENGTH_4, CHUNKED, body=FOUR + LAST, length=False),
-        "behind chunks": answer(CHUNKED, LENGTH_4, body=FOUR + LAST, length=False),
+        "two alike": answer(CONTENT_LENGTH_4, CONTENT_LENGTH_4, body="body", length=False),
+        "two different": answer(CONTENT_LENGTH_4, "Content-Length: 5", body="body", length=False),
+        "and chunks": answer(CONTENT_LENGTH_4, CHUNKED, body=BODY_CHUNK + LAST_CHUNK, length=False),
+        "behind chunks": answer(CHUNKED, CONTENT_LENGTH_4, body=BODY_CHUNK + LAST_CHUNK, length=False),
         "folded": answer("Content-Length:", " 4", body="body", length=False),
         "behind a space": answer("Content-Length : 4", body="body", length=False),
         "65,537": answer(body="x" * 65_537),
@@ -196,26 +207,30 @@
         "named by Connection": answer("Connection: Content-Length", body="body"),
     },
 )
-for name, coding in CODINGS.items():
-    add(NODE, "coding", {name: answer("Transfer-Encoding: " + coding, body=FOUR + LAST, length=False)})
+for name, coding in TRANSFER_CODINGS.items():
+    add(
+        NODE,
+        "coding",
+        {name: answer("Transfer-Encoding: " + coding, body=BODY_CHUNK + LAST_CHUNK, length=False)},
+    )
 add(
     NODE,
     "coding",
     {
-        "two headers": answer(CHUNKED, CHUNKED, body=FOUR + LAST, length=False),
+        "two headers": answer(CHUNKED, CHUNKED, body=BODY_CHUNK + LAST_CHUNK, length=False),
         "two headers, identity last": answer(
-            CHUNKED, "Transfer-Encoding: identity", body=FOUR + LAST, length=False
+            CHUNKED, "Transfer-Encoding: identity", body=BODY_CHUNK + LAST_CHUNK, length=False
         ),
-        "in 1.0": answer(CHUNKED, version="HTTP/1.0", body=FOUR + LAST, length=False),
+        "in 1.0": answer(CHUNKED, version="HTTP/1.0", body=BODY_CHUNK + LAST_CHUNK, length=False),
         "identity with a length": answer("Transfer-Encoding: identity", body="body"),
-        "behind a space": answer("Transfer-Encoding : chunked", body=FOUR + LAST, length=False),
-        "of a 500": answer(CHUNKED, status="500 S", body=FOUR + LAST, length=False),
+        "behind a space": answer("Transfer-Encoding : chunked", body=BODY_CHUNK + LAST_CHUNK, length=False),
+        "of a 500": answer(CHUNKED, status="500 S", body=BODY_CHUNK + LAST_CHUNK, length=False),
         "of a 503, marked": answer(
-            CHUNKED, "X-Unprocessed: 1", status="503 S", body=FOUR + LAST, length=False
+            CHUNKED, "X-Unprocessed: 1", status="503 S", body=BODY_CHUNK + LAST_CHUNK, length=False
         ),
     },
 )
-add(NODE, "chunk", {name: answer(CHUNKED, body=body, length=False) for name, body in CHUNKS.items()})
+add(NODE, "chunk", {name: answer(CHUNKED, body=body, length=False) for name, body in CHUNKED_BODIES.items()})
 add(
     NODE,
     "header",
@@ -258,12 +273,12 @@
         "LF": ONE + "\n",
         "half an answer": ONE + "HTTP/1.1 200 OK\r\nContent-",
         "a head": ONE + "HTTP/1.1 200 OK\r\n\r\n",
-        "chunked and noise": answer(CHUNKED, body=BODY_3 + LAST, length=False) + "!!",
-        "chunked and a second": answer(CHUNKED, body=BODY_3 + LAST, length=False) + answer(body="two"),
-        "chunked and half an answer": answer(CHUNKED, body=BODY_3 + LAST, length=False) + ONE[:30],
-        "chunked and one byte": answer(CHUNKED, body=BODY_3 + LAST, length=False) + "H",
-        "chunked and a head": answer(CHUNKED, body=BODY_3 + LAST, length=False) + EARLY,
-        "chunked and CRLF": answer(CHUNKED, body=BODY_3 + LAST, length=False) + CRLF,
+        "chunked and noise": answer(CHUNKED, body=BODY_3 + LAST_CHUNK, length=False) + "!!",
+        "chunked and a second": answer(CHUNKED, body=BODY_3 + LAST_CHUNK, length=False) + answer(body="two"),
+        "chunked and half an answer": answer(CHUNKED, body=BODY_3 + LAST_CHUNK, length=False) + ONE[:30],
+        "chunked and one byte": answer(CHUNKED, body=BODY_3 + LAST_CHUNK, length=False) + "H",
+        "chunked and a head": answer(CHUNKED, body=BODY_3 + LAST_CHUNK, length=False) + EARLY,
+        "chunked and CRLF": answer(CHUNKED, body=BODY_3 + LAST_CHUNK, length=False) + CRLF,
         "500 and a second": answer(status="500 S", body="one") + answer(body="two"),
         "503 marked and noise": answer("X-Unprocessed: 1", status="503 S") + "x",
         "empty and a second": answer() + answer(body="two"),
@@ -273,14 +288,14 @@
         "408": ONE + answer("Connection: close", status="408 T"),
     },
 )
-for name, value in CONNECTIONS.items():
+for name, value in CONNECTION_VALUES.items():
     add(NODE, "connection", {name: answer(f"Connection: {value}", "X-One: 1", "X-Two: 2", body="one")})
 add(
     NODE,
     "connection",
     {
         "close in two headers": answer("Connection: x", "Connection: close", body="one"),
-        "close, chunked": answer("Connection: close", CHUNKED, body=BODY_3 + LAST, length=False),
+        "close, chunked": answer("Connection: close", CHUNKED, body=BODY_3 + LAST_CHUNK, length=False),
         "close, 500": answer("Connection: close", status="500 S", body="one"),
         "1.0": answer(version="HTTP/1.0", body="one"),
         "1.0 keep-alive": answer("Connection: keep-alive", version="HTTP/1.0", body="one"),
@@ -288,7 +303,7 @@
         "Keep-Alive: timeout=0": answer("Keep-Alive: timeout=0", body="one"),
         "Upgrade of 200": answer("Connection: Upgrade", "Upgrade: websocket", body="one"),
         "Upgrade of 200, chunked": answer(
-            "Connection: Upgrade", "Upgrade: h2c", CHUNKED, body=BODY_3 + LAST, length=False
+            "Connection: Upgrade", "Upgrade: h2c", CHUNKED, body=BODY_3 + LAST_CHUNK, length=False
         ),
         "Upgrade of 426": answer("Connection: Upgrade", "Upgrade: h2c", status="426 U", body="one"),
         "Upgrade without Connection": answer("Upgrade: websocket", body="one"),
@@ -309,7 +324,7 @@
         "503 without a length": answer("X-Unprocessed: 1", status="503 S", length=False),
         "503 cut": answer("X-Unprocessed: 1", "Content-Length: 9", status="503 S", body="cut", length=False),
         "503 in a trailer": answer(
-            CHUNKED, status="503 S", body=FOUR + "0\r\nX-Unprocessed: 1\r\n\r\n", length=False
+            CHUNKED, status="503 S", body=BODY_CHUNK + "0\r\nX-Unprocessed: 1\r\n\r\n", length=False
         ),
         "503 in an interim one": "HTTP/1.1 103 E\r\nX-Unprocessed: 1\r\n\r\n" + answer(status="503 S"),
     },
@@ -345,7 +360,7 @@
         "of 8,000": answer("X-Backend-Load: fail_rate=0,q=1," + "x" * 7_900, body="one"),
     },
 )
-for group, whole in (("length", ONE), ("chunked", answer(CHUNKED, body=BODY_3 + LAST, length=False))):
+for group, whole in (("length", ONE), ("chunked", answer(CHUNKED, body=BODY_3 + LAST_CHUNK, length=False))):
     head = whole.index("\r\n\r\n")
     cuts = {
         "at once": 0,
@@ -371,11 +386,11 @@
     statuses = ["200 OK"] * 6 + ["503 S", "500 S", "204 S", "404 S"]
     framings = (
         [("Content-Length: 3", "one")] * 4
-        + [(CHUNKED, BODY_3 + LAST)] * 4
+        + [(CHUNKED, BODY_3 + LAST_CHUNK)] * 4
         + [
-            (CHUNKED, "4\r\none\r\n" + LAST),
+            (CHUNKED, "4\r\none\r\n" + LAST_CHUNK),
             ("Content-Length: 2", "one"),
-            (CHUNKED + CRLF + LENGTH_4, FOUR + LAST),
+            (CHUNKED + CRLF + CONTENT_LENGTH_4, BODY_CHUNK + LAST_CHUNK),
             ("X: y", ""),
             ("Content-Length: 0", ""),
         ]
--- a/tests/net/harness.py
+++ b/tests/net/harness.py
@@ -1,9 +1,10 @@
-"""Drives one connection of a client's or a node's without sockets or wall clock, and says what became of it.
+"""Drives a single client or server connection without sockets or wall clock and describes the outcome.
 
-A loop whose clock stands still unless it is moved, transports that record, a real engine with a module that
-sends each request to one node, and either an executor that answers at once (clients' side) or the real
-instances on a transport that the test feeds (nodes' side).  What knows the classes of the network code is in
-the part marked SEAM; all else holds for any code with the same behaviour.
+It consists of an event loop whose clock moves only when a test moves it, transports that record what is
+written, and a real engine with a policy that sends each request to one server.  Client cases use an executor
+that answers at once; server cases use the real server connections on a transport that the test feeds.  Only
+the part between "Adapter" and "End of the adapter" knows the classes of the network code; the rest fits any
+implementation with the same behaviour.
 """
 
 from __future__ import annotations
@@ -30,12 +31,14 @@
 T = TypeVar("T")
 Pairs = list[tuple[str, str]]
 
-NODE_ID = b"s1"
-READ_MOST = 262_144  # what asyncio reads at once, where a protocol does not ask for less
-QUIET_TURNS = 16  # of the loop with nothing new; a dial is the longest silent chain
-TURNS_MOST = 100_000
-LINGER_US = 1_000_000  # longer than any connection lingers, shorter than any request may take
-PROBE = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
+SERVER_ID = b"s1"
+READ_BYTES = 262_144  # size of one asyncio read, unless a protocol sets a smaller `max_size`
+STABLE_ITERATIONS = (
+    16  # loop iterations without a change; connecting is the longest chain without a visible one
+)
+MAX_ITERATIONS = 100_000
+LINGER_US = 1_000_000  # longer than the lingering close, shorter than any request deadline
+HEALTH_REQUEST = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 SECOND_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond"
 CONFIG = read_config(
     {
@@ -78,115 +81,117 @@
 )
 
 
-# SEAM: the only functions that know the network code's classes (and, of the imports, aiohttp and these)
+# Adapter: the only functions that use classes of the network code
 
 
-def new_engine(module: Module, counters: Counters) -> Engine:
-    clock = _clock()
+def new_engine(policy: OneServerPolicy, counters: Counters) -> Engine:
+    clock = _loop_clock()
     names = [c.name for c in CONFIG.settings.classes]
-    return Engine(module, counters, clock, TimerWheel(clock), class_names=names)  # type: ignore[arg-type]
+    return Engine(policy, counters, clock, TimerWheel(clock), class_names=names)  # type: ignore[arg-type]
 
 
-def new_service_client(engine: Engine, counters: Counters) -> Callable[[], asyncio.Protocol]:
-    """A factory of clients' connections."""
-    clock = _clock()
+def new_frontend(engine: Engine, counters: Counters) -> Callable[[], asyncio.Protocol]:
+    """Returns a factory of client connections."""
+    clock = _loop_clock()
     return Frontend(CONFIG, engine, counters, lambda: True, clock, TimerWheel(clock))
 
 
-def new_instances(engine: Engine, counters: Counters) -> ServerConnections:
-    clock = _clock()
-    instances = ServerConnections(CONFIG, engine, counters, clock, TimerWheel(clock))
-    instances.list_update({NODE_ID: ("s1", Address("127.0.0.1", 9))}, [], whole=True)
-    return instances
+def new_server_connections(engine: Engine, counters: Counters) -> ServerConnections:
+    clock = _loop_clock()
+    connections = ServerConnections(CONFIG, engine, counters, clock, TimerWheel(clock))
+    connections.list_update({SERVER_ID: ("s1", Address("127.0.0.1", 9))}, [], whole=True)
+    return connections
 
 
-def _clock() -> Clock:
+def _loop_clock() -> Clock:
     loop = asyncio.get_running_loop()
     assert isinstance(loop, StubLoop)
     return lambda: loop.now_us
 
 
-async def closed(instances: ServerConnections) -> None:
-    await instances.close()
+async def close_server_connections(connections: ServerConnections) -> None:
+    await connections.close()
 
 
 class Collector:
-    """The far end of a body that flows: puts it behind what was held, and tells how it ended."""
+    """Receives a body stream: appends its data to the message's body, then reports its end."""
 
-    def __init__(self, kept: Message | Response, ended: Callable[[bool], None] = lambda whole: None) -> None:
-        self.kept, self.ended = kept, ended
-        self.whole: bool | None = None
-        assert kept.body_stream
-        kept.body_stream.attach(self)
-        kept.body_stream.set_reading(True)
+    def __init__(
+        self, message: Message | Response, on_end: Callable[[bool], None] = lambda whole: None
+    ) -> None:
+        self.collected, self.on_end = message, on_end
+        self.is_complete: bool | None = None
+        assert message.body_stream
+        message.body_stream.attach(self)
+        message.body_stream.set_reading(True)
 
     def body_data(self, data: bytes) -> None:
-        self.kept.body += data
+        self.collected.body += data
 
     def body_end(self, whole: bool) -> None:
-        self.whole = whole
-        self.ended(whole)
+        self.is_complete = whole
+        self.on_end(whole)
 
 
-FLOWS: dict[Exchange, Collector] = {}  # where the answers of exchanges flow to
+BODY_COLLECTORS: dict[Exchange, Collector] = {}  # collectors of streamed answers, by exchange
 
 
 def new_exchange() -> Exchange:
-    """A read, as the clients' side would open it."""
+    """Creates a read request's exchange as the frontend would."""
 
     def answered(exchange: Exchange, answer: object) -> None:
         if isinstance(answer, Response) and answer.body_stream:
-            FLOWS[exchange] = Collector(answer)
+            BODY_COLLECTORS[exchange] = Collector(answer)
 
     return Exchange(Message(b"GET", b"/grid-read/k"), 0, 0, 1, 2_000_000, 0, False, answered)
 
 
-def flow_of(exchange: Exchange) -> str:
-    """How the answer's body stands, if it flows: `flowing`, `broke`, or "" once it is whole."""
-    flowing = FLOWS.pop(exchange, None)
-    if flowing is None or flowing.whole:
+def body_state(exchange: Exchange) -> str:
+    """Returns the state of a streamed answer body: `flowing`, `broke`, or "" if complete or not streamed."""
+    collector = BODY_COLLECTORS.pop(exchange, None)
+    if collector is None or collector.is_complete:
         return ""
-    return "flowing" if flowing.whole is None else "broke"
+    return "flowing" if collector.is_complete is None else "broke"
 
 
-def answer_of(exchange: Exchange) -> object:
-    """The exchange's final answer, or None."""
+def final_answer(exchange: Exchange) -> object:
+    """Returns the exchange's final answer, or None."""
     return exchange.answer
 
 
-def passed_on(message: Message) -> tuple[str, str, Pairs, bytes]:
-    """Method, target, headers and body; texts are latin-1."""
+def request_parts(message: Message) -> tuple[str, str, Pairs, bytes]:
+    """Returns method, target, headers and body, with the texts decoded as latin-1."""
     return (
         message.method.decode("latin-1"),
         message.target.decode("latin-1"),
-        _pairs(message.head),
+        _header_pairs(message.head),
         message.body,
     )
 
 
-def served_headers(answer: Response) -> Pairs:
-    return _pairs(answer.head)
+def response_headers(answer: Response) -> Pairs:
+    return _header_pairs(answer.head)
 
 
-def new_served(body: bytes) -> Response:
+def new_response(body: bytes) -> Response:
     return Response(body)
 
 
-def _pairs(head: bytes) -> Pairs:
+def _header_pairs(head: bytes) -> Pairs:
     lines = head.decode("latin-1").split("\r\n")[:-1]
     return [(name, value) for name, _, value in (line.partition(": ") for line in lines)]
 
 
-# End of SEAM
+# End of the adapter
 
 
 class StubLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock moves only by `now_us`, and whose connections are `Wire`s."""
+    """An event loop whose time is `now_us` and whose connections are `StubTransport`s."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_us = 1_000_000_000
-        self.wires: list[Wire] = []  # every one that was opened, in this order
+        self.transports: list[StubTransport] = []  # all that were opened, oldest first
         self.faults: list[str] = []
         self.set_exception_handler(
             lambda _, context: self.faults.append(f"{context['message']}: {context.get('exception')!r}")
@@ -200,72 +205,74 @@
         factory: Callable[[], asyncio.Protocol],
         *_: Any,  # type: ignore[override]
         **__: Any,
-    ) -> tuple[Wire, asyncio.Protocol]:
-        wire = Wire(self, factory())
+    ) -> tuple[StubTransport, asyncio.Protocol]:
+        transport = StubTransport(self, factory())
         await asyncio.sleep(0)
-        return wire, wire.protocol
+        return transport, transport.protocol
 
 
-class Wire(asyncio.Transport):
-    """A transport whose far end is the test: it feeds, and looks at what was written."""
+class StubTransport(asyncio.Transport):
+    """A transport whose peer is the test, which feeds input and inspects what was written."""
 
     def __init__(self, loop: StubLoop, protocol: asyncio.Protocol) -> None:
         super().__init__()
-        self.max_size = READ_MOST
+        self.max_size = READ_BYTES
         self.loop, self.protocol = loop, protocol
         self.written, self.paused = bytearray(), False
-        self.end = ""  # closed, aborted, or `left` by the test
-        self._inbox: deque[bytes] = deque()
-        loop.wires.append(self)
+        self.end = ""  # `closed`, `aborted`, or `left` if the test closed it as the peer
+        self._incoming: deque[bytes] = deque()
+        loop.transports.append(self)
         loop.call_soon(protocol.connection_made, self)
 
-    # The test's side
+    # Used by the test as the peer
 
     def feed(self, segment: bytes) -> None:
-        """Have a segment wait for `deliver`, cut to what is read at a time."""
-        self._inbox.extend(segment[at : at + self.max_size] for at in range(0, len(segment), self.max_size))
+        """Queue a segment for `deliver`, split into single reads."""
+        self._incoming.extend(
+            segment[at : at + self.max_size] for at in range(0, len(segment), self.max_size)
+        )
 
-    def deliver(self, most: int = 1) -> bool:
-        """Hand the protocol what was fed, if it reads."""
+    def deliver(self, max_segments: int = 1) -> bool:
+        """Pass queued reads to the protocol unless it has paused; return whether any was passed."""
         delivered = False
-        while most and self._inbox and not self.end and not self.paused:
-            most, delivered = most - 1, True
+        while max_segments and self._incoming and not self.end and not self.paused:
+            max_segments, delivered = max_segments - 1, True
             try:
-                self.protocol.data_received(self._inbox.popleft())
+                self.protocol.data_received(self._incoming.popleft())
             except Exception as e:
                 self.loop.faults.append(f"data_received: {e!r}")
                 self.abort()
         return delivered
 
-    def leave(self, reset: bool = False) -> None:
-        """The far end has closed; what it sent was read before."""
+    def disconnect(self, reset: bool = False) -> None:
+        """Close, or reset, the connection as the peer after everything it sent has been read."""
         if not self.end and (reset or not self.protocol.eof_received()):
-            self._over("left", ConnectionResetError(104, "reset by peer") if reset else None)
+            self._finish("left", ConnectionResetError(104, "reset by peer") if reset else None)
 
     @property
-    def fed(self) -> bool:
-        return bool(self._inbox)
+    def has_input(self) -> bool:
+        return bool(self._incoming)
 
     @property
     def state(self) -> tuple[object, ...]:
-        return len(self.written), self.end, self.paused, len(self._inbox)
+        return len(self.written), self.end, self.paused, len(self._incoming)
 
-    # The protocol's side
+    # Used by the protocol
 
     def write(self, data: Any) -> None:
         if not self.end:
             self.written += data
 
-    def _over(self, how: str, error: Exception | None = None) -> None:
+    def _finish(self, how: str, error: Exception | None = None) -> None:
         if not self.end:
             self.end = how
             self.loop.call_soon(self.protocol.connection_lost, error)
 
     def close(self) -> None:
-        self._over("closed")
+        self._finish("closed")
 
     def abort(self) -> None:
-        self._over("aborted")
+        self._finish("aborted")
 
     def is_closing(self) -> bool:
         return bool(self.end)
@@ -293,19 +300,19 @@
         return True
 
     def write_eof(self) -> None:
-        """The far end reads it, and closes as well."""
-        self.loop.call_soon(self._far_end_closes)
+        """Send EOF; the peer closes in response."""
+        self.loop.call_soon(self._peer_closes)
 
-    def _far_end_closes(self) -> None:
+    def _peer_closes(self) -> None:
         if not self.end and not self.protocol.eof_received():
-            self._over("closed", None)
+            self._finish("closed", None)
 
     def get_protocol(self) -> asyncio.BaseProtocol:
         return self.protocol
 
 
-class Module:
-    """Stands in for the decisions: each request goes to the one node, once."""
+class OneServerPolicy:
+    """A stub policy that sends each request to the one server, once."""
 
     def __init__(self) -> None:
         self.arrivals: list[Arrival] = []
@@ -314,54 +321,56 @@
     def handle(self, now: int, event: Event) -> list[Action]:
         if isinstance(event, Arrival):
             self.arrivals.append(event)
-            return [Send(event.request, NODE_ID, 0)]
+            return [Send(event.request, SERVER_ID, 0)]
         if isinstance(event, Outcome):
             self.reports.append(event.report)
             return [] if event.closed else [Fail(event.request)]
         return []
 
 
-class Answerer:
-    """Stands in for the nodes: answers each attempt 200 after some turns, with a body that names it."""
+class StubExecutor:
+    """A stub executor that answers each attempt with 200 after some loop iterations, bodies numbered."""
 
-    def __init__(self, engine: Engine, turns: int) -> None:
-        self._engine, self._turns = engine, turns
+    def __init__(self, engine: Engine, delay_iterations: int) -> None:
+        self._engine, self._delay_iterations = engine, delay_iterations
         self.started: list[Attempt] = []
 
     def start(self, attempt: Attempt) -> None:
         self.started.append(attempt)
-        body = served_body(len(self.started) - 1)
+        body = numbered_body(len(self.started) - 1)
         if attempt.message.body_stream:
-            Collector(attempt.message, lambda whole: whole and self._wait(attempt, body, self._turns))
+            Collector(
+                attempt.message, lambda whole: whole and self._wait(attempt, body, self._delay_iterations)
+            )
         else:
-            self._wait(attempt, body, self._turns)
+            self._wait(attempt, body, self._delay_iterations)
 
     def extend(self, attempt: Attempt) -> None:
-        """It is answered when its body is whole."""
+        """Does nothing: the attempt is answered when its body is complete."""
 
-    def _wait(self, attempt: Attempt, body: bytes, turns: int) -> None:
+    def _wait(self, attempt: Attempt, body: bytes, delay_iterations: int) -> None:
         if attempt.outcome is not None:
             return
-        if turns:
-            asyncio.get_running_loop().call_soon(self._wait, attempt, body, turns - 1)
+        if delay_iterations:
+            asyncio.get_running_loop().call_soon(self._wait, attempt, body, delay_iterations - 1)
         else:
-            self._engine.attempt_ended(attempt, Result(AttemptOutcome.SERVED, (), new_served(body)))
+            self._engine.attempt_ended(attempt, Result(AttemptOutcome.SERVED, (), new_response(body)))
 
     def cancel(self, attempt: Attempt, unsent: bool = False) -> None:
         if unsent:
-            return  # it has been written
+            return  # the attempt is already written
         self._engine.attempt_ended(attempt, Result(AttemptOutcome.CANCELLED))
 
     def probe(self, server: bytes) -> None:
         raise NotImplementedError
 
 
-def served_body(number: int) -> bytes:
+def numbered_body(number: int) -> bytes:
     return b"served %d" % number
 
 
-class Recorded(Counters):
-    """Counters that know which faults they counted."""
+class RecordingCounters(Counters):
+    """Counters that also list the names of counted faults."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -374,7 +383,7 @@
 
 
 class ErrorLog(logging.Handler):
-    """Keeps what is logged as an error."""
+    """A log handler that keeps error records."""
 
     def __init__(self) -> None:
         super().__init__(logging.ERROR)
@@ -385,12 +394,12 @@
         self.lines.append(f"{record.name}: {record.getMessage()}{error}")
 
 
-def run(main: Callable[[StubLoop, Recorded], Coroutine[Any, Any, T]]) -> tuple[T, list[str]]:
-    """Run a case on a loop of its own: its result, and every fault that escaped, was counted or logged."""
-    loop, counters, log = StubLoop(), Recorded(), ErrorLog()
+def run(main: Callable[[StubLoop, RecordingCounters], Coroutine[Any, Any, T]]) -> tuple[T, list[str]]:
+    """Run a case on a new loop; return its result and every escaped, counted or logged fault."""
+    loop, counters, log = StubLoop(), RecordingCounters(), ErrorLog()
     logging.getLogger().addHandler(log)
     disabled = logging.root.manager.disable
-    logging.disable(logging.WARNING)  # thousands of rejections would be printed with a test that fails
+    logging.disable(logging.WARNING)  # otherwise a failing test prints thousands of rejections
     try:
         result = loop.run_until_complete(main(loop, counters))
     finally:
@@ -401,115 +410,120 @@
 
 
 async def settle(loop: StubLoop) -> None:
-    """Deliver what was fed, a segment a turn, till nothing has come of it for some turns."""
-    quiet, before = 0, [wire.state for wire in loop.wires]
-    for _ in range(TURNS_MOST):
-        for wire in loop.wires:
-            if wire.fed:
-                loop.call_soon(wire.deliver)
+    """Deliver queued input, one read per loop iteration, until nothing changes for STABLE_ITERATIONS."""
+    quiet, before = 0, [transport.state for transport in loop.transports]
+    for _ in range(MAX_ITERATIONS):
+        for transport in loop.transports:
+            if transport.has_input:
+                loop.call_soon(transport.deliver)
         await asyncio.sleep(0)
-        now = [wire.state for wire in loop.wires]
+        now = [transport.state for transport in loop.transports]
         quiet, before = 0 if now != before else quiet + 1, now
-        if quiet > QUIET_TURNS:
+        if quiet > STABLE_ITERATIONS:
             return
-    raise AssertionError("never at rest")
+    raise AssertionError("the connections kept changing")
 
 
-async def play(loop: StubLoop, wire: Wire, segments: list[bytes], gap: int) -> None:
-    """Feed segments `gap` turns apart; with 0, all in one turn."""
+async def send_segments(loop: StubLoop, transport: StubTransport, segments: list[bytes], gap: int) -> None:
+    """Feed segments `gap` loop iterations apart; with 0, all in one iteration."""
     for segment in segments:
-        wire.feed(segment)
-        loop.call_soon(wire.deliver, 1 if gap else TURNS_MOST)
+        transport.feed(segment)
+        loop.call_soon(transport.deliver, 1 if gap else MAX_ITERATIONS)
         for _ in range(gap):
             await asyncio.sleep(0)
     await settle(loop)
 
 
-# Clients' side
+# Client cases
 
 
 @dataclass
-class Ran:
-    """A request as it reached the executor, or a node."""
+class ReceivedRequest:
+    """A request as it reached the executor or a server."""
 
     method: str
     target: str
     headers: Pairs
     body: bytes
-    told: dict[str, Any] = field(default_factory=dict)  # what the engine was told, where it is unusual
+    # Fields of the policy's arrival event that differ from the usual.
+    unusual_fields: dict[str, Any] = field(default_factory=dict)
 
     def json(self) -> list[object]:
         return [
-            f"{self.method} {short(self.target)}",
-            unusual(self.headers),
+            f"{self.method} {shorten(self.target)}",
+            unusual_headers(self.headers),
             digest(self.body),
-            *([self.told] if self.told else []),
+            *([self.unusual_fields] if self.unusual_fields else []),
         ]
 
 
 @dataclass
 class ClientOutcome:
-    """What became of a client's bytes.
+    """The outcome of a client's bytes.
 
-    `end` is how its connection stands: closed, aborted, lingers (is closed when time passes), kept (the next
-    request on it is answered), or waiting for more of a message.
+    `end` is the final state of the connection: `closed`, `aborted`, `lingers` (closed after a delay), `kept`
+    (the next request on it is answered), or `waiting` for the rest of a message.
     """
 
     answers: list[tuple[int, Pairs, bytes | None]]
-    ran: list[Ran]
+    received: list[ReceivedRequest]
     end: str
     faults: list[str]
 
     def json(self) -> dict[str, object]:
         answers = [s if body is not None else f"{s} without a body" for s, _, body in self.answers]
-        told = {
-            "answers": few(answers),
-            "ran": few([ran.json() for ran in self.ran]),
+        fields = {
+            "answers": abbreviate(answers),
+            "ran": abbreviate([request.json() for request in self.received]),
             "end": self.end,
             "faults": self.faults,
         }
-        return {k: v for k, v in told.items() if v}
+        return {k: v for k, v in fields.items() if v}
 
 
-def client(segments: list[bytes], gap: int = 1, turns: int = 1) -> ClientOutcome:
-    """Play a client that sends these segments `gap` turns of the loop apart; nodes take `turns` to answer."""
+def run_client(segments: list[bytes], gap: int = 1, delay_iterations: int = 1) -> ClientOutcome:
+    """Run a client that sends segments `gap` loop iterations apart; answers take `delay_iterations`."""
 
-    async def main(loop: StubLoop, counters: Recorded) -> ClientOutcome:
-        module = Module()
-        engine = new_engine(module, counters)
-        engine.executor = answerer = Answerer(engine, turns)
-        wire = Wire(loop, new_service_client(engine, counters)())
+    async def main(loop: StubLoop, counters: RecordingCounters) -> ClientOutcome:
+        policy = OneServerPolicy()
+        engine = new_engine(policy, counters)
+        engine.executor = executor = StubExecutor(engine, delay_iterations)
+        transport = StubTransport(loop, new_frontend(engine, counters)())
         await settle(loop)
-        await play(loop, wire, segments, gap)
-        answers = read_answers(bytes(wire.written))
-        ran = [ran_of(e.message, a) for e, a in zip(answerer.started, module.arrivals, strict=True)]
-        end, before = await _state_of(loop, wire, answerer), len(answerer.started)
-        wire.leave()
+        await send_segments(loop, transport, segments, gap)
+        answers = parse_answers(bytes(transport.written))
+        received = [
+            received_request(e.message, a) for e, a in zip(executor.started, policy.arrivals, strict=True)
+        ]
+        end, started_count = await _connection_state(loop, transport, executor), len(executor.started)
+        transport.disconnect()
         await settle(loop)
-        late = [f"{len(answerer.started) - before} ran after their client had left"]
-        return ClientOutcome(answers, ran, end, late if len(answerer.started) > before else [])
+        late = [f"{len(executor.started) - started_count} ran after their client had left"]
+        return ClientOutcome(answers, received, end, late if len(executor.started) > started_count else [])
 
     outcome, faults = run(main)
     outcome.faults += faults
     return outcome
 
 
-async def _state_of(loop: StubLoop, wire: Wire, answerer: Answerer) -> str:
-    if wire.end:
-        return wire.end
+async def _connection_state(loop: StubLoop, transport: StubTransport, executor: StubExecutor) -> str:
+    if transport.end:
+        return transport.end
     loop.now_us += LINGER_US
     await settle(loop)
-    if wire.end:
+    if transport.end:
         return "lingers"
-    before, ran = len(wire.written), len(answerer.started)
-    await play(loop, wire, [PROBE], 1)
-    answers = read_answers(bytes(wire.written[before:]))
-    whole = len(answerer.started) == ran and [(s, body) for s, _, body in answers] == [(200, b"")]
-    return "kept" if whole and not wire.end else "waiting"
+    written_bytes, started_count = len(transport.written), len(executor.started)
+    await send_segments(loop, transport, [HEALTH_REQUEST], 1)
+    answers = parse_answers(bytes(transport.written[written_bytes:]))
+    is_answered = len(executor.started) == started_count and [(s, body) for s, _, body in answers] == [
+        (200, b"")
+    ]
+    return "kept" if is_answered and not transport.end else "waiting"
 
 
-def ran_of(message: Message, arrival: Arrival) -> Ran:
-    method, target, headers, body = passed_on(message)
+def received_request(message: Message, arrival: Arrival) -> ReceivedRequest:
+    method, target, headers, body = request_parts(message)
     last = target.partition("?")[0].split("/")[2:][-1:]
     key = int.from_bytes(hashlib.blake2b(last[0].encode(), digest_size=8).digest(), "little") if last else 0
     usual = {
@@ -520,12 +534,12 @@
         "left_us": UPLOAD_TIMEOUT_US if arrival.coming else 2_000_000 if method == "POST" else 2_500_000,
         "is_retry": False,
     }
-    told = {name: getattr(arrival, name) for name in usual}
-    return Ran(method, target, headers, body, {k: v for k, v in told.items() if v != usual[k]})
+    fields = {name: getattr(arrival, name) for name in usual}
+    return ReceivedRequest(method, target, headers, body, {k: v for k, v in fields.items() if v != usual[k]})
 
 
-def read_answers(data: bytes) -> list[tuple[int, Pairs, bytes | None]]:
-    """Status, headers and body of each answer in what a client got; None for a body that is left out."""
+def parse_answers(data: bytes) -> list[tuple[int, Pairs, bytes | None]]:
+    """Parse the answers a client got into status, headers and body; the body is None if it was omitted."""
     answers: list[tuple[int, Pairs, bytes | None]] = []
     while data:
         head, found, data = data.partition(b"\r\n\r\n")
@@ -535,7 +549,7 @@
         pairs = [line.partition(":") for line in lines]
         headers = [(name.lower(), value.strip()) for name, _, value in pairs]
         (length,) = [int(v) for n, v in headers if n == "content-length"] or [0]
-        if length and match[1] != "200" and data[:7] in (b"", b"HTTP/1."):  # an answer to HEAD
+        if length and match[1] != "200" and data[:7] in (b"", b"HTTP/1."):  # the answer to a HEAD request
             answers.append((int(match[1]), headers, None))
         else:
             assert len(data) >= length, f"cut: {line!r}"
@@ -544,85 +558,88 @@
     return answers
 
 
-# Nodes' side
+# Server cases
 
 
 @dataclass
-class NodeOutcome:
-    """What became of a node's bytes.
+class ServerOutcome:
+    """The outcome of a server's bytes.
 
-    `ending` is the execution's, or `waiting`, and then `at_eof` what it is if the node closes, and `at_reset`
-    if that is another if the connection breaks.  `next` tells whether the next request goes out on the same
-    connection, and what becomes of its good answer.
+    `attempt_outcome` is the attempt's outcome, or `waiting`.  If `waiting`, `at_eof` is the outcome when
+    the server then closes, and `at_reset` the outcome when the connection is reset, if that differs.
+    `next_connection` tells whether the next request uses the same connection, and the outcome of its valid
+    answer if that is not served.
     """
 
-    ending: str
+    attempt_outcome: str
     headers: Pairs
     body: bytes
     report: tuple[float, ...]
-    next: str
+    next_connection: str
     at_eof: str
     at_reset: str
     faults: list[str]
 
     def json(self) -> dict[str, object]:
-        told = {
-            "ending": self.ending,
-            "headers": listed(self.headers),
+        fields = {
+            "ending": self.attempt_outcome,
+            "headers": header_lines(self.headers),
             "body": digest(self.body),
             "report": list(self.report),
-            "next": self.next,
+            "next": self.next_connection,
             "at_eof": self.at_eof,
             "at_reset": self.at_reset,
             "faults": self.faults,
         }
-        return {k: v for k, v in told.items() if v}
+        return {k: v for k, v in fields.items() if v}
 
 
-def node(segments: list[bytes], gap: int = 1) -> NodeOutcome:
-    """Play a node that answers a read with these segments, `gap` turns of the loop apart."""
-    outcome = _node(segments, gap, reset=False)
-    if outcome.ending == "waiting":
-        broken = _node(segments, gap, reset=True)
+def run_server(segments: list[bytes], gap: int = 1) -> ServerOutcome:
+    """Run a server that answers a read with these segments, `gap` loop iterations apart."""
+    outcome = _run_server(segments, gap, reset=False)
+    if outcome.attempt_outcome == "waiting":
+        broken = _run_server(segments, gap, reset=True)
         outcome.at_reset = broken.at_eof if broken.at_eof != outcome.at_eof else ""
         outcome.faults += broken.faults
     return outcome
 
 
-def _node(segments: list[bytes], gap: int, reset: bool) -> NodeOutcome:
-    async def main(loop: StubLoop, counters: Recorded) -> NodeOutcome:
-        module = Module()
-        engine = new_engine(module, counters)
-        engine.executor = instances = new_instances(engine, counters)
+def _run_server(segments: list[bytes], gap: int, reset: bool) -> ServerOutcome:
+    async def main(loop: StubLoop, counters: RecordingCounters) -> ServerOutcome:
+        policy = OneServerPolicy()
+        engine = new_engine(policy, counters)
+        engine.executor = connections = new_server_connections(engine, counters)
 
-        async def ask() -> Exchange:
+        async def open_exchange() -> Exchange:
             exchange = new_exchange()
             engine.open(exchange)
             await settle(loop)
             return exchange
 
-        first = await ask()
-        (wire,) = loop.wires
-        await play(loop, wire, segments, gap)
-        outcome = NodeOutcome("waiting", [], b"", (), "", "", "", [])
+        first = await open_exchange()
+        (transport,) = loop.transports
+        await send_segments(loop, transport, segments, gap)
+        outcome = ServerOutcome("waiting", [], b"", (), "", "", "", [])
         if first.attempts[0].outcome is None:
-            wire.leave(reset)
+            transport.disconnect(reset)
             await settle(loop)
             outcome.at_eof = str(getattr(first.attempts[0].outcome, "value", "waiting"))
         else:
-            outcome.ending = flow_of(first) or first.attempts[0].outcome.value
-            answer = answer_of(first)
+            outcome.attempt_outcome = body_state(first) or first.attempts[0].outcome.value
+            answer = final_answer(first)
             if isinstance(answer, Response):
-                outcome.headers, outcome.body = served_headers(answer), answer.body
-            outcome.report = module.reports[0]
-            second = await ask()
-            used = loop.wires[-1]
-            await play(loop, used, [SECOND_ANSWER], 1)
-            ending, answer = second.attempts[0].outcome, answer_of(second)
+                outcome.headers, outcome.body = response_headers(answer), answer.body
+            outcome.report = policy.reports[0]
+            second = await open_exchange()
+            used = loop.transports[-1]
+            await send_segments(loop, used, [SECOND_ANSWER], 1)
+            attempt_outcome, answer = second.attempts[0].outcome, final_answer(second)
             good = isinstance(answer, Response) and answer.body == SECOND_ANSWER[-6:]
-            outcome.next = "reused" if used is wire else "dials anew" if wire.end else "dials anew beside it"
-            outcome.next += "" if good else f", then {ending} {answer}"
-        await closed(instances)
+            outcome.next_connection = (
+                "reused" if used is transport else "dials anew" if transport.end else "dials anew beside it"
+            )
+            outcome.next_connection += "" if good else f", then {attempt_outcome} {answer}"
+        await close_server_connections(connections)
         await settle(loop)
         return outcome
 
@@ -631,39 +648,44 @@
     return outcome
 
 
-# Both sides
+# Client and server together
 
 
-def relay(data: bytes, answer: bytes) -> tuple[list[Ran], ClientOutcome]:
-    """Play a client and a node that answers each request alike: what the node saw, and what the client."""
+def run_relay(data: bytes, answer: bytes) -> tuple[list[ReceivedRequest], ClientOutcome]:
+    """Run a client and a server that gives each request the same answer.
+
+    Returns the requests that the server received and the client's outcome.
+    """
 
-    async def main(loop: StubLoop, counters: Recorded) -> tuple[list[Ran], ClientOutcome]:
-        module = Module()
-        engine = new_engine(module, counters)
-        engine.executor = instances = new_instances(engine, counters)
-        wire = Wire(loop, new_service_client(engine, counters)())
+    async def main(
+        loop: StubLoop, counters: RecordingCounters
+    ) -> tuple[list[ReceivedRequest], ClientOutcome]:
+        policy = OneServerPolicy()
+        engine = new_engine(policy, counters)
+        engine.executor = connections = new_server_connections(engine, counters)
+        transport = StubTransport(loop, new_frontend(engine, counters)())
         await settle(loop)
-        await play(loop, wire, [data], 1)
-        seen: dict[Wire, list[Ran]] = {}
-        while pending := [w for w in loop.wires[1:] if len(read_requests(w)) > len(seen.get(w, []))]:
-            for node_wire in pending:
-                seen[node_wire] = read_requests(node_wire)
-                await play(loop, node_wire, [answer], 1)
-        outcome = ClientOutcome(read_answers(bytes(wire.written)), [], wire.end or "open", [])
-        wire.leave()
+        await send_segments(loop, transport, [data], 1)
+        seen: dict[StubTransport, list[ReceivedRequest]] = {}
+        while pending := [w for w in loop.transports[1:] if len(parse_requests(w)) > len(seen.get(w, []))]:
+            for server_transport in pending:
+                seen[server_transport] = parse_requests(server_transport)
+                await send_segments(loop, server_transport, [answer], 1)
+        outcome = ClientOutcome(parse_answers(bytes(transport.written)), [], transport.end or "open", [])
+        transport.disconnect()
         await settle(loop)
-        await closed(instances)
+        await close_server_connections(connections)
         await settle(loop)
-        return [ran for w in loop.wires[1:] for ran in read_requests(w)], outcome
+        return [request for w in loop.transports[1:] for request in parse_requests(w)], outcome
 
     (seen, outcome), faults = run(main)
     outcome.faults += faults
     return seen, outcome
 
 
-def read_requests(wire: Wire) -> list[Ran]:
-    """The requests written to a node, each of which must say how long it is."""
-    requests, data = [], bytes(wire.written)
+def parse_requests(transport: StubTransport) -> list[ReceivedRequest]:
+    """Parse the requests written to a server; each must state its body length."""
+    requests, data = [], bytes(transport.written)
     while data:
         head, found, data = data.partition(b"\r\n\r\n")
         line, *lines = head.decode("latin-1").split("\r\n")
@@ -675,17 +697,17 @@
         (length,) = [int(v) for n, v in headers if n == "content-length"] or [0]
         if ("transfer-encoding", "chunked") in headers:
             headers.remove(("transfer-encoding", "chunked"))
-            data, body = _unchunked(data)
+            data, body = _decode_chunked(data)
             length = len(body)
             data = body + data
         assert len(data) >= length, f"cut: {line!r}"
-        requests.append(Ran(match[1], match[2], headers, data[:length]))
+        requests.append(ReceivedRequest(match[1], match[2], headers, data[:length]))
         data = data[length:]
     return requests
 
 
-def _unchunked(data: bytes) -> tuple[bytes, bytes]:
-    """What lies behind a body in chunks, and the body."""
+def _decode_chunked(data: bytes) -> tuple[bytes, bytes]:
+    """Returns the bytes after a chunked body, and the decoded body."""
     body = b""
     while True:
         size, _, data = data.partition(b"\r\n")
@@ -694,22 +716,22 @@
             return data, body
 
 
-# Small values for the table
+# Short values for the table
 
 
 def digest(body: bytes) -> str:
-    """The body itself where it is a word, else the start of its SHA-256 and its length."""
+    """Returns a short printable body itself, else the start of its SHA-256 and its length."""
     if re.fullmatch(rb"[ -~]{0,16}", body):
         return body.decode()
     return f"sha256:{hashlib.sha256(body).hexdigest()[:16]} of {len(body)}"
 
 
-def short(text: str) -> str:
+def shorten(text: str) -> str:
     return text if len(text) <= 80 else f"{text[:24]}... {digest(text.encode('latin-1'))}"
 
 
-def unusual(headers: Pairs) -> list[str]:
-    """Headers as `name: value`, sorted, without those that each request of the corpus carries."""
+def unusual_headers(headers: Pairs) -> list[str]:
+    """Returns sorted `name: value` lines without the headers that every request of the corpus carries."""
     usual = [("host", r"x"), ("x-account", r"acme"), ("x-correlation-id", r"\d{1,3}")]
     left = [(name.lower(), value) for name, value in headers]
     missing = []
@@ -718,15 +740,15 @@
         missing += [] if found else [f"no {name}"]
         for pair in found:
             left.remove(pair)
-    return missing + listed(left)
+    return missing + header_lines(left)
 
 
-def listed(headers: Pairs) -> list[str]:
-    """`name: value`, sorted; of a great many, only what tells them from others."""
-    lines = sorted(f"{name.lower()}: {short(value)}" for name, value in headers)
-    return few(lines)
+def header_lines(headers: Pairs) -> list[str]:
+    """Returns sorted `name: value` lines; more than 12 are replaced by their number and digest."""
+    lines = sorted(f"{name.lower()}: {shorten(value)}" for name, value in headers)
+    return abbreviate(lines)
 
 
-def few(values: list[T]) -> list[T] | list[str]:
-    """The values; of a great many, only what tells them from others."""
+def abbreviate(values: list[T]) -> list[T] | list[str]:
+    """Returns the values; more than 12 are replaced by their number and digest."""
     return values if len(values) <= 12 else [f"{len(values)}: {digest(repr(values).encode())}"]
--- a/tests/net/record_behaviour.py
+++ b/tests/net/record_behaviour.py
@@ -15,15 +15,15 @@
 sys.path[:0] = [str(ROOT)]
 
 import harness  # noqa: E402
-from corpus import CLIENT  # noqa: E402
+from corpus import CLIENT_MESSAGES  # noqa: E402
 from corpus_nodes import NODE  # noqa: E402
 
 TABLE = Path(__file__).with_name("behaviour.json")
 BYTEWISE_MOST = 3_000
 QUIET = 20  # turns between two segments: what came first has had its effect
 SIDES: dict[str, tuple[dict[str, bytes], Callable[..., object]]] = {
-    "client": (CLIENT, harness.client),
-    "node": (NODE, harness.node),
+    "client": (CLIENT_MESSAGES, harness.run_client),
+    "node": (NODE, harness.run_server),
 }
 
 
--- a/tests/net/test_flows.py
+++ b/tests/net/test_flows.py
@@ -6,7 +6,16 @@
 
 import harness
 from corpus import get
-from harness import Module, StubLoop, Wire, new_engine, new_instances, new_service_client, play, settle
+from harness import (
+    OneServerPolicy,
+    StubLoop,
+    StubTransport,
+    new_engine,
+    new_server_connections,
+    new_frontend,
+    send_segments,
+    settle,
+)
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
@@ -18,36 +27,38 @@
 class Party:
     """A client's wire and the wires to nodes, with a balancer between."""
 
-    def __init__(self, loop: StubLoop, counters: harness.Recorded) -> None:
-        engine = new_engine(Module(), counters)
-        engine.executor = self.instances = new_instances(engine, counters)
+    def __init__(self, loop: StubLoop, counters: harness.RecordingCounters) -> None:
+        engine = new_engine(OneServerPolicy(), counters)
+        engine.executor = self.instances = new_server_connections(engine, counters)
         self.loop, self.engine, self.counters = loop, engine, counters
-        self.client = Wire(loop, new_service_client(engine, counters)())
+        self.client = StubTransport(loop, new_frontend(engine, counters)())
 
     @property
-    def node(self) -> Wire:
-        return self.loop.wires[1]
+    def node(self) -> StubTransport:
+        return self.loop.transports[1]
 
     async def over(self) -> None:
-        self.client.leave()
+        self.client.disconnect()
         await settle(self.loop)
-        await harness.closed(self.instances)
+        await harness.close_server_connections(self.instances)
         await settle(self.loop)
         assert self.engine.requests_in_flight == 0
 
 
-async def feed(loop: StubLoop, source: Wire, sink: Wire, pieces: list[bytes], pauses: set[int]) -> None:
+async def feed(
+    loop: StubLoop, source: StubTransport, sink: StubTransport, pieces: list[bytes], pauses: set[int]
+) -> None:
     """Feed the pieces; the other wire takes nothing for a while before those whose number is in `pauses`."""
     for number, piece in enumerate(pieces):
         if number in pauses and not sink.end:
             sink.protocol.pause_writing()
             begun = bool(sink.written)
-            await play(loop, source, [piece], 1)
+            await send_segments(loop, source, [piece], 1)
             assert source.paused or not begun or number == len(pieces) - 1  # it is not read meanwhile
             sink.protocol.resume_writing()
             await settle(loop)
         else:
-            await play(loop, source, [piece], 1)
+            await send_segments(loop, source, [piece], 1)
 
 
 def cut(data: bytes, places: list[int]) -> list[bytes]:
@@ -109,12 +120,12 @@
     whole = b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n" + sent
     told = whole if breaks is None else whole[: len(whole) - 1 - breaks % len(sent)]
 
-    async def main(loop: StubLoop, counters: harness.Recorded) -> None:
+    async def main(loop: StubLoop, counters: harness.RecordingCounters) -> None:
         party = Party(loop, counters)
         await settle(loop)
-        await play(loop, party.client, [get().encode("latin-1")], 1)
+        await send_segments(loop, party.client, [get().encode("latin-1")], 1)
         await feed(loop, party.node, party.client, cut(told, places), pauses)
-        party.node.leave(reset and breaks is not None)
+        party.node.disconnect(reset and breaks is not None)
         await settle(loop)
         got = bytes(party.client.written)
         served = got.startswith(b"HTTP/1.1 200")
@@ -154,23 +165,23 @@
     # All of the hold is there before anything breaks.
     told = head + (sent if breaks is None else sent[: len(sent) - 1 - breaks % (len(sent) - 65_540)])
 
-    async def main(loop: StubLoop, counters: harness.Recorded) -> None:
+    async def main(loop: StubLoop, counters: harness.RecordingCounters) -> None:
         party = Party(loop, counters)
         await settle(loop)
-        await play(loop, party.client, [told[: len(head) + 65_537]], 1)
-        if len(loop.wires) > 1:
+        await send_segments(loop, party.client, [told[: len(head) + 65_537]], 1)
+        if len(loop.transports) > 1:
             await feed(loop, party.client, party.node, cut(told[len(head) + 65_537 :], places), pauses)
         else:
-            await play(loop, party.client, [told[len(head) + 65_537 :]], 1)
-        got = b"".join(bytes(wire.written) for wire in loop.wires[1:])
+            await send_segments(loop, party.client, [told[len(head) + 65_537 :]], 1)
+        got = b"".join(bytes(wire.written) for wire in loop.transports[1:])
         if breaks is not None and got:
-            (party.client if who == "client" else party.node).leave(True)
+            (party.client if who == "client" else party.node).disconnect(True)
             await settle(loop)
         arrived, complete = read_body(got) if got else (b"", False)
         assert body.startswith(arrived) and complete == (breaks is None and bool(got))
         if breaks is None:
             assert arrived == body
-            await play(loop, party.node, [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"], 1)
+            await send_segments(loop, party.node, [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"], 1)
             assert bytes(party.client.written).endswith(b"done") and not party.client.end
         elif got and who == "client":
             assert party.node.end  # the node must not wait for the rest
--- a/tests/net/test_pool.py
+++ b/tests/net/test_pool.py
@@ -7,14 +7,14 @@
 
 import pytest
 from harness import (
-    NODE_ID,
-    Module,
-    Recorded,
+    SERVER_ID,
+    OneServerPolicy,
+    RecordingCounters,
     StubLoop,
-    Wire,
+    StubTransport,
     new_engine,
     new_exchange,
-    new_instances,
+    new_server_connections,
     run,
     settle,
 )
@@ -22,10 +22,10 @@
 from roadlb.exchange import AttemptOutcome, Attempt
 
 
-async def send_one(loop: StubLoop, counters: Recorded) -> tuple[Attempt, Any]:
+async def send_one(loop: StubLoop, counters: RecordingCounters) -> tuple[Attempt, Any]:
     """Open an exchange; its attempt, and the instances."""
-    engine = new_engine(Module(), counters)
-    engine.executor = instances = new_instances(engine, counters)
+    engine = new_engine(OneServerPolicy(), counters)
+    engine.executor = instances = new_server_connections(engine, counters)
     exchange = new_exchange()
     engine.open(exchange)
     await settle(loop)
@@ -38,14 +38,14 @@
     # uvloop closes the handle then, says that it is not closing, and never calls connection_lost: the call
     # waited for its deadline, and the place in the pool was lost for good.
     async def called_off(self: StubLoop, factory: Any, *_: Any, **__: Any) -> Any:
-        wire = Wire(self, factory())
+        wire = StubTransport(self, factory())
         wire.abort = lambda: None  # type: ignore[method-assign]
         await asyncio.sleep(0)
         raise TimeoutError
 
     monkeypatch.setattr(StubLoop, "create_connection", called_off)
 
-    async def main(loop: StubLoop, counters: Recorded) -> None:
+    async def main(loop: StubLoop, counters: RecordingCounters) -> None:
         attempt, instances = await send_one(loop, counters)
         assert attempt.outcome is AttemptOutcome.DIAL_TIMED_OUT
         assert not instances.pool.open
@@ -54,12 +54,12 @@
 
 
 def test_a_transport_that_refuses_the_write_has_sent_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    def refuse(self: Wire, data: Any) -> None:
+    def refuse(self: StubTransport, data: Any) -> None:
         raise RuntimeError("the handler is closed")
 
-    monkeypatch.setattr(Wire, "write", refuse)
+    monkeypatch.setattr(StubTransport, "write", refuse)
 
-    async def main(loop: StubLoop, counters: Recorded) -> None:
+    async def main(loop: StubLoop, counters: RecordingCounters) -> None:
         attempt, _ = await send_one(loop, counters)
         assert attempt.outcome is AttemptOutcome.BROKE_UNSENT
 
@@ -67,13 +67,13 @@
 
 
 def test_a_request_of_which_bytes_wait_for_the_kernel_never_ran_and_another_may_have() -> None:
-    async def main(loop: StubLoop, counters: Recorded) -> None:
+    async def main(loop: StubLoop, counters: RecordingCounters) -> None:
         for waits in (True, False):
             attempt, _ = await send_one(loop, counters)
-            wire = loop.wires[-1]
+            wire = loop.transports[-1]
             if waits:
                 wire.protocol.pause_writing()  # as with write buffer limits of 0
-            wire.leave()
+            wire.disconnect()
             await settle(loop)
             assert attempt.outcome is (AttemptOutcome.BROKE_UNSENT if waits else AttemptOutcome.RESET)
 
@@ -82,20 +82,20 @@
 
 def test_a_connection_rests_till_what_came_behind_its_answer_has_been_read() -> None:
     # Reused in the same turn, it would take the copy for the next request's answer.
-    async def main(loop: StubLoop, counters: Recorded) -> None:
-        engine = new_engine(Module(), counters)
-        engine.executor = new_instances(engine, counters)
+    async def main(loop: StubLoop, counters: RecordingCounters) -> None:
+        engine = new_engine(OneServerPolicy(), counters)
+        engine.executor = new_server_connections(engine, counters)
         exchanges = [new_exchange(), new_exchange()]
         exchanges[0].on_answer = lambda x, answer: engine.open(exchanges[1])
         engine.open(exchanges[0])
         await settle(loop)
-        (first,) = loop.wires
+        (first,) = loop.transports
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
         first.feed(answer)
         first.feed(answer)
         await settle(loop)
-        assert len(loop.wires) == 2 and first.end and exchanges[1].answer is None
-        assert NODE_ID == exchanges[1].attempts[0].server
+        assert len(loop.transports) == 2 and first.end and exchanges[1].answer is None
+        assert SERVER_ID == exchanges[1].attempts[0].server
 
     assert run(main)[1] == []
 
@@ -109,9 +109,9 @@
     async def held(self: StubLoop, factory: Any, *told: Any, **more: Any) -> Any:
         await asyncio.Event().wait()
 
-    async def main(loop: StubLoop, counters: Recorded) -> None:
+    async def main(loop: StubLoop, counters: RecordingCounters) -> None:
         attempt, instances = await send_one(loop, counters)
-        wire = loop.wires[-1]
+        wire = loop.transports[-1]
         instances.cancel(attempt, unsent=True)
         assert attempt.outcome is None and not wire.is_closing()
         instances.cancel(attempt)
@@ -122,7 +122,7 @@
         others.cancel(dialled, unsent=True)
         assert dialled.outcome is AttemptOutcome.NEVER_STARTED
         await settle(loop)
-        assert not others.pool.open and len(loop.wires) == 1
+        assert not others.pool.open and len(loop.transports) == 1
         monkeypatch.setattr(StubLoop, "create_connection", made)
 
     assert run(main)[1] == []
--- a/tests/net/test_slow.py
+++ b/tests/net/test_slow.py
@@ -5,22 +5,32 @@
 from typing import Any
 
 from corpus import get
-from harness import Answerer, Module, Recorded, StubLoop, Wire, new_engine, new_service_client, run, settle
+from harness import (
+    StubExecutor,
+    OneServerPolicy,
+    RecordingCounters,
+    StubLoop,
+    StubTransport,
+    new_engine,
+    new_frontend,
+    run,
+    settle,
+)
 
 from roadlb.net import client_connection, frontend
 
 
-async def connected(loop: StubLoop, counters: Recorded) -> tuple[Wire, Answerer, Any]:
-    engine = new_engine(Module(), counters)
-    engine.executor = answerer = Answerer(engine, 1)
-    client = new_service_client(engine, counters)
-    wire = Wire(loop, client())
+async def connected(loop: StubLoop, counters: RecordingCounters) -> tuple[StubTransport, StubExecutor, Any]:
+    engine = new_engine(OneServerPolicy(), counters)
+    engine.executor = answerer = StubExecutor(engine, 1)
+    client = new_frontend(engine, counters)
+    wire = StubTransport(loop, client())
     await settle(loop)
     return wire, answerer, client
 
 
 def test_one_that_takes_no_answer_has_no_further_request_begun_and_is_read_up_to_a_bound() -> None:
-    async def main(loop: StubLoop, counters: Recorded) -> None:
+    async def main(loop: StubLoop, counters: RecordingCounters) -> None:
         wire, answerer, _ = await connected(loop, counters)
         wire.feed(get(id=1).encode())
         await settle(loop)
@@ -42,7 +52,7 @@
 
 
 def test_one_that_never_takes_its_answer_is_ended() -> None:
-    async def main(loop: StubLoop, counters: Recorded) -> None:
+    async def main(loop: StubLoop, counters: RecordingCounters) -> None:
         wire, _, client = await connected(loop, counters)
         wire.feed(get(id=1).encode())
         await settle(loop)
@@ -58,10 +68,10 @@
 
 
 def test_what_is_sent_behind_an_open_request_is_kept_within_a_bound() -> None:
-    async def main(loop: StubLoop, counters: Recorded) -> None:
-        engine = new_engine(Module(), counters)
-        engine.executor = answerer = Answerer(engine, 10_000)  # never in this test
-        wire = Wire(loop, new_service_client(engine, counters)())
+    async def main(loop: StubLoop, counters: RecordingCounters) -> None:
+        engine = new_engine(OneServerPolicy(), counters)
+        engine.executor = answerer = StubExecutor(engine, 10_000)  # never in this test
+        wire = StubTransport(loop, new_frontend(engine, counters)())
         await settle(loop)
         wire.feed(get(id=1).encode())
         await settle(loop)
