--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -1,8 +1,7 @@
-"""The network code, in scenarios; each says what it guards against."""
+"""Scenarios of the network code with clients, servers and discovery on loopback sockets."""
 
 from __future__ import annotations
 
-
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,7 +13,7 @@
 from roadlb.config import IDLE_PART
 
 SCENARIOS = {
-    "a drain lets idle clients go, ends what is open well, serves new ones, and is over at once": """
+    "a drain closes idle connections, completes open requests, serves new clients, and ends at once": """
         b send GET /grid-read/k
         i1 expect GET
         i1 send 200 one
@@ -41,37 +40,37 @@
         i2 expect GET
         i2 send 200 three
         f expect 200 three "!Connection: close" """,
-    "target byte for byte, load report kept back, the rest passed on": """
+    "the target is forwarded byte for byte, the load report is removed, other headers are forwarded": """
         a send GET /grid-read/a%2Fb//..;x?q=%41&&b=%c3 Accept:text/x
         i1 expect "GET /grid-read/a%2Fb//..;x?q=%41&&b=%c3 HTTP/1.1" "Accept: text/x" X-Time-Left !User-Agent
         i1 send 200 forecast Content-Type:text/x X-Backend-Load:eps=0,queue=2
         a expect 200 forecast text/x !X-Backend-Load""",
-    "1xx answers in front of the final one, and a report that cannot be read": """
+    "1xx responses before the final one, and a malformed load report": """
         a send GET /grid-read/k
         i1 expect GET
         i1 send raw HTTP/1.1 103 Early Hints\\r\\nX: y\\r\\n\\r\\nHTTP/1.1 102 Processing\\r\\n\\r\\n
         i1 send 200 one X-Backend-Load:\\x7f=,,;
         a expect 200 one""",
-    "an answer in another protocol may have run": """
+    "an order answered by a protocol switch counts as possibly executed": """
         a send POST /order/k
         i1 expect POST
         i1 send raw HTTP/1.1 101 Go\\r\\nConnection: upgrade\\r\\nUpgrade: x\\r\\n\\r\\nx
         a expect 502
         i1 expect closed""",
-    "an early answer says nothing of when the final one comes": """
+    "an interim response does not shorten the wait for the final one": """
         a send POST /order/k
         i1 expect POST
         i1 send raw HTTP/1.1 103 Early Hints\\r\\nX: y\\r\\n\\r\\n
         wait 0.7
         i1 send 200 done
         a expect 200 done""",
-    "a target in absolute form is its path and query": """
+    "a target in absolute form is forwarded as its path and query": """
         a send raw GET http://any.host:80/grid-read/k?q=%41 HTTP/1.1\\r\\nHost: any.host:80\\r\\n
         a send raw X-Correlation-Id: 7\\r\\nX-Account: acme\\r\\n\\r\\n
         i1 expect "GET /grid-read/k?q=%41 HTTP/1.1"
         i1 send 200 one
         a expect 200 one""",
-    "a long answer begins before it is whole, and one that breaks ends unfinished": """
+    "a long answer is streamed, and is cut off if the server closes early": """
         a send GET /grid-read/k
         i1 expect GET
         i1 send raw HTTP/1.1 200 OK\\r\\nContent-Length: 200000\\r\\n\\r\\nBODY=100000
@@ -85,7 +84,7 @@
         a expect 200 "Content-Length: 200000" BODY=100000
         i2 close
         a expect closed""",
-    "an answer may end with its connection, and one that breaks instead is not served": """
+    "an answer may end by close of its connection, but one ended by a reset is not served": """
         a send GET /grid-read/k
         i1 expect GET
         i1 send raw HTTP/1.1 200 OK\\r\\n\\r\\nforecast
@@ -96,10 +95,10 @@
         i2 send raw HTTP/1.1 200 OK\\r\\n\\r\\nfore
         i2 reset
         a expect 502""",
-    "a query mark with nothing behind it cannot be passed on unchanged": """
+    "an empty query is rejected, as it cannot be forwarded unchanged": """
         a send GET /grid-read/a?
         a expect 400 unchanged""",
-    "a GET on a reused connection that broke is not sent again by the library": """
+    "a GET on a reused connection that closed is not resent by the HTTP library": """
         a send GET /grid-read/k
         i1 expect GET
         i1 send 200 one
@@ -108,17 +107,17 @@
         i2 expect GET
         i2 close
         a expect 503 Retry-After""",
-    "where clients are not told when to come back, a refusal names no time": """
+    "a refusal has no Retry-After if max_retry_after_us is 0": """
         grid 0 1 max_retry_after_us=0
         a send GET /grid-read/k
         a expect 503 !Retry-After""",
-    "an order whose connection broke after its last byte may have run": """
+    "an order whose connection closed after its last byte counts as possibly executed": """
         grid 2
         a send POST /order/k body=9
         i1 expect POST xxx
         i1 close
         a expect 502""",
-    "a read is sent again elsewhere": """
+    "a read is retried on another server": """
         grid 2
         a send GET /grid-read/k
         i1 expect GET
@@ -126,7 +125,7 @@
         i2 expect GET
         i2 send 200 two
         a expect 200 two""",
-    "an order turned away with the mark never ran": """
+    "an order refused with X-Unprocessed is retried on another server": """
         grid 2
         a send POST /order/k body=9
         i1 expect POST
@@ -134,26 +133,26 @@
         i2 expect POST
         i2 send 200 done
         a expect 200 done""",
-    "a 503 without the mark may have run": """
+    "an order refused with 503 but without X-Unprocessed is not retried": """
         grid 2
         a send POST /order/k
         i1 expect POST
         i1 send 503
         a expect 502""",
-    "a 504 with another mark may have run": """
+    "an order answered with 504 and X-Unprocessed of 0 is not retried": """
         grid 2
         a send POST /order/k
         i1 expect POST
         i1 send 504 X-Unprocessed:0
         a expect 502""",
-    "a cut 200 is a reset, never served": """
+    "a truncated 200 counts as a reset and is not served": """
         grid 2
         a send POST /order/k
         i1 expect POST
         i1 send raw HTTP/1.1 200 OK\\r\\nContent-Length: 10\\r\\n\\r\\nhalf
         i1 close
         a expect 502 !half""",
-    "an answer that is no HTTP fails the order": """
+    "an answer that is not HTTP fails the order": """
         grid 2
         a send POST /order/k
         i1 expect POST
@@ -165,7 +164,7 @@
         i1 expect POST
         i1 send 302 Location:/order/other
         a expect 502""",
-    "cookies are not kept, bodies not decompressed": """
+    "cookies are not stored and bodies not decompressed": """
         a send GET /grid-read/k
         i1 expect GET
         i1 send 200 not-gzip Content-Encoding:gzip Set-Cookie:x=1
@@ -174,22 +173,22 @@
         i2 expect GET !Cookie
         i2 send 200
         a expect 200""",
-    "a hang-up calls the execution off by closing its connection": """
+    "a client that closes cancels its attempt by closing the server connection": """
         a send POST /order/k
         i1 expect POST
         a close
         i1 expect closed""",
-    "an execution that has had its time is closed, and the client told in time": """
+    "an attempt past its deadline is closed, and the client is answered in time": """
         a send POST /order/k X-Time-Left:0.2
         i1 expect POST
         a expect 502
         i1 expect closed""",
-    "nobody ready: nacked at once, with the time to come back": """
+    "with no server ready a request is refused at once with Retry-After": """
         d expect watch=1&after=0
         d send draining
         a send POST /order/k
         a expect 503 Retry-After""",
-    "nothing new for an instance that drains": """
+    "a draining server gets no new request": """
         grid 2
         d expect watch=1
         d send draining up
@@ -201,7 +200,7 @@
         a expect 503
         i2 send 200
         b expect 200""",
-    "a malformed line keeps the list, and the watch is opened again": """
+    "a malformed line of the watch keeps the server list, and the watch is reopened": """
         d expect after=0
         d send raw {"generation":7,"reset":true,"instances":[{"instanceId":1}]}
         d2 expect after=0
@@ -209,7 +208,7 @@
         i1 expect GET
         i1 send 200
         a expect 200""",
-    "a watch that broke keeps the list and goes on from its version": """
+    "a closed watch keeps the server list and resumes after its last version": """
         d expect after=0
         d send up
         d close
@@ -218,7 +217,7 @@
         i1 expect GET
         i1 send 200
         a expect 200""",
-    "a new configuration moves the watch, keeps the list, and the old place is heard no more": """
+    "a new configuration moves the watch, keeps the server list, and ignores the previous discovery": """
         d expect after=0
         d send up
         a send POST /order/k
@@ -235,7 +234,7 @@
         e send draining
         a send GET /grid-read/k
         a expect 503""",
-    "a second new configuration comes while the first is being followed": """
+    "a second new configuration arrives while the first is being applied": """
         d expect after=0
         reload
         reload
@@ -245,13 +244,13 @@
         i1 expect GET
         i1 send 200
         a expect 200""",
-    "a faulty new configuration leaves the watch where it is": """
+    "an invalid new configuration leaves the watch unchanged": """
         d expect after=0
         reload nowhere
         d send draining
         a send GET /grid-read/k
         a expect 503""",
-    "what was taken is answered before the end": """
+    "accepted requests are answered before shutdown": """
         a send POST /order/k
         i1 expect POST
         stop
@@ -259,7 +258,7 @@
         a expect 200 done "Connection: close"
         a expect closed
         stopped""",
-    "it goes on accepting for a while after it was told to end": """
+    "it accepts requests for the configured time after shutdown begins": """
         stop 3600
         a send GET /grid-read/k
         i1 expect GET
@@ -269,14 +268,14 @@
         b expect 200
         stop
         stopped""",
-    "an idle connection to an instance is dropped": """
+    "an idle connection to a server is closed": """
         grid 1 0 0 conn_idle_us=200000
         a send GET /grid-read/k
         i1 expect GET
         i1 send 200
         a expect 200
         i1 expect closed""",
-    "past the limit of clients' connections the one that has been silent for longest makes room": """
+    "past the limit of client connections the one that has been silent for longest is closed": """
         grid 1 client_sockets=3
         a send POST /order/k
         i1 expect POST
@@ -289,7 +288,7 @@
         c expect closed
         i1 send 200
         a expect 200""",
-    "where connections are few, an answer says that it is its connection's last": """
+    "an answer closes its connection if few client connections are left": """
         grid 1 client_sockets=4
         a send GET /healthz
         a expect 200 !close
@@ -299,7 +298,7 @@
         a send GET /healthz
         a expect 200 "Connection: close"
         a expect closed""",
-    "with no other to spare, a new connection is closed at once, and nothing of its request runs": """
+    "with no connection to spare a new one is closed at once, and its request is not sent": """
         grid 1 client_sockets=1
         a send POST /order/k
         i1 expect POST
@@ -307,7 +306,7 @@
         b expect closed
         i1 send 200
         a expect 200""",
-    "two lengths may hide another request: refused, and nothing behind them is read": """
+    "two body lengths may hide a request: rejected, and nothing after them is read": """
         a send raw POST /order/k HTTP/1.1\\r\\nHost: x\\r\\nX-Correlation-Id: 1\\r\\nX-Account: acme\\r\\n
         a send raw Content-Length: 4\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n0\\r\\n\\r\\n
         a send POST /order/k
@@ -322,7 +321,7 @@
         a send raw Content-Length: 4\\r\\n\\r\\nbody
         a expect 400
         a expect closed""",
-    "an id that is open, or was lately, reaches no instance again, whoever sends it": """
+    "an id that is open or recent is not sent to a server again, from any client": """
         a send POST /order/k X-Correlation-Id:77
         i1 expect POST
         b send POST /order/k X-Correlation-Id:77
@@ -331,7 +330,7 @@
         a expect 200
         b send POST /order/k X-Correlation-Id:77
         b expect 409""",
-    "requests in a row on one connection are answered one by one": """
+    "pipelined requests on one connection are answered in order": """
         a send POST /order/k
         a send POST /order/k
         i1 expect POST
@@ -340,7 +339,7 @@
         i2 expect POST
         i2 send 200 two
         a expect 200 two""",
-    "idle connections end with the balancer": """
+    "idle connections are closed at shutdown": """
         a send GET /healthz
         a expect 200
         stop
@@ -349,11 +348,11 @@
     "not HTTP": """
         a send raw nonsense\\r\\n\\r\\n
         a expect 400""",
-    "a body that is announced as too large is not waited for": """
+    "a body announced as too large is rejected before it arrives": """
         a send POST /order/k Content-Length:33554433
         a expect 413
         a expect closed""",
-    "a long body can go to another node while nothing beyond the hold has left": """
+    "a long body can be retried while nothing beyond the buffered start has been sent": """
         grid 2
         a send POST /order/k Content-Length:200000
         a send raw BODY=70000
@@ -364,7 +363,7 @@
         i2 rest 200000
         i2 send 200 done
         a expect 200 done !close""",
-    "a node that is lost with half an order never ran it, and the client hears so": """
+    "an order whose server closed before its whole body was sent is refused with Retry-After": """
         a send POST /order/k Content-Length:200000
         a send raw BODY=100000
         i1 expect POST "Content-Length: 200000"
@@ -373,14 +372,14 @@
         i1 close
         a expect 503 Retry-After "Connection: close"
         a expect closed""",
-    "an order whose client leaves it half is left half at its node": """
+    "an order whose client closes during its body is cut off at the server": """
         a send POST /order/k Content-Length:200000
         a send raw BODY=100000
         i1 expect POST "Content-Length: 200000"
         i1 rest 100000
         a close
         i1 expect closed""",
-    "a body in chunks goes on in chunks": """
+    "a chunked body is forwarded in chunks": """
         a send raw POST /order/k HTTP/1.1\\r\\nHost: x\\r\\nX-Correlation-Id: 7\\r\\nX-Account: acme\\r\\n
         a send raw Transfer-Encoding: chunked\\r\\n\\r\\n
         a send raw 186a0\\r\\nBODY=100000
@@ -388,15 +387,15 @@
         a send raw \\r\\n0\\r\\n\\r\\n
         i1 send 200 done
         a expect 200 done""",
-    "a client that asks first is told to go on": """
+    "a client that expects 100-continue gets it": """
         a send POST /nothing Content-Length:2 Expect:100-continue
         a expect 100
         a send raw xx
         a expect 404""",
-    "the allowed method is named": """
+    "a 405 names the allowed method": """
         a send DELETE /order/k
         a expect 405 "Allow: POST" """,
-    "one connection goes on after input that was rejected": """
+    "a connection stays usable after a rejected request": """
         a send GET /nothing/k
         a expect 404
         a send GET /grid-read/k
@@ -407,31 +406,31 @@
 OK = "HTTP/1.1 200 OK\\r\\n"
 CHUNKED = "Transfer-Encoding: chunked\\r\\n\\r\\n"
 ONE = OK + "Content-Length: 3\\r\\n\\r\\none"
-# Answers that bring more than belongs to them: served, and what came besides is nobody's answer.
-MORE = {
+# Answers with surplus bytes: the answer is served, the surplus must not answer another request.
+SURPLUS_RESPONSES = {
     "a second copy in the same segment": f"i1 send raw {ONE}{ONE}",
-    "noise in the same segment": f"i1 send raw {ONE}\\x00\\x01noise\\r\\n\\r\\n",
-    "a head in pieces, and a copy right behind the body": f"""
+    "garbage in the same segment": f"i1 send raw {ONE}\\x00\\x01noise\\r\\n\\r\\n",
+    "a head in pieces, and a copy directly after the body": f"""
         i1 send raw HTTP/1.1 200 OK\\r\\nContent-Length: 3\\r\\n\\r
         i1 send raw \\none{ONE}""",
-    "a chunked body, and noise": f"i1 send raw {OK}{CHUNKED}3\\r\\none\\r\\n0\\r\\n\\r\\n!!",
+    "a chunked body, and garbage": f"i1 send raw {OK}{CHUNKED}3\\r\\none\\r\\n0\\r\\n\\r\\n!!",
 }
-# Answers that cannot be used: failed at once, though the connection stays open and the time is long.
-SPOILT = {
+# Invalid answers: the attempt fails at once although the connection stays open and time remains.
+UNUSABLE_RESPONSES = {
     "3 GB": f"{OK}Content-Length: 3000000000\\r\\n\\r\\nand so on",
     "a broken chunk": f"{OK}{CHUNKED}3\\r\\none\\r\\nzzz\\r\\n",
     "an endless field": f"{OK}X: {'x' * 20_000}",
     "endless fields": OK + "X: 1234567890\\r\\n" * 2_000,
     "endless 1xx": "HTTP/1.1 103 Early Hints\\r\\n\\r\\n" * 20,
     "no length": f"{OK}\\r\\nbody",
-    "no number": f"{OK}Content-Length: many\\r\\n\\r\\nbody",
+    "not a number": f"{OK}Content-Length: many\\r\\n\\r\\nbody",
     "negative": f"{OK}Content-Length: -4\\r\\n\\r\\nbody",
     "two lengths": f"{OK}Content-Length: 4\\r\\nContent-Length: 5\\r\\n\\r\\nbody",
     "a length and chunks": f"{OK}Content-Length: 4\\r\\n{CHUNKED}0\\r\\n\\r\\n",
-    "longer than it says it is": f"{OK}Content-Length: 50\\r\\n\\r\\nbody",
+    "longer than its length": f"{OK}Content-Length: 50\\r\\n\\r\\nbody",
     "half a head": "HTTP/1.1 200 O",
 }
-REJECTED = [
+REJECTED_REQUESTS = [
     ("GET /grid-read/k X-Account:nobody", 400),
     ("GET /grid-read/k X-Account:", 400),
     ("GET /grid-read/k X-Correlation-Id:", 400),
@@ -455,7 +454,7 @@
 
 
 @given(st.binary(max_size=20))
-def test_a_target_that_would_end_its_request_line_is_not_passed_on(rest: bytes) -> None:
+def test_a_target_that_would_split_the_request_line_is_not_forwarded(rest: bytes) -> None:
     target = b"/" + rest
     if frontend.passable(target):
         assert (b"GET %b HTTP/1.1" % target).decode("ascii").split() == ["GET", target.decode(), "HTTP/1.1"]
@@ -471,18 +470,18 @@
     ],
 )
 @pytest.mark.parametrize("before", ["", "a send GET /healthz\na expect 200"])
-def test_a_silent_or_half_sent_request_is_ended(
+def test_a_connection_with_no_or_an_incomplete_request_is_closed(
     monkeypatch: pytest.MonkeyPatch, before: str, start: str
 ) -> None:
-    # Such a connection lasted 75 s, and a few hundred of them took all descriptors.
+    # Such connections used to last 75 s, and a few hundred of them used up all descriptors.
     monkeypatch.setattr(frontend, "REQUEST_S", 0.2)
     monkeypatch.setattr(frontend, "IDLE_S", 0.2)
     answered = "a expect 408 close" if start else ""
     run(play(f"{before}\na send raw {start}\n{answered}\na expect closed"))
 
 
-def test_the_longest_idle_connection_makes_room_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Clients that connect anew for each request and stay: new ones were closed instead, with their requests.
+def test_the_longest_idle_connection_is_closed_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Clients that open a connection per request and keep it: the new ones were closed, with their requests.
     monkeypatch.setattr(frontend, "FEW", 2)
     run(
         play("""
@@ -499,8 +498,8 @@
     )
 
 
-def test_idle_connections_are_not_kept_where_they_are_not_plentiful(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Clients that asked once held their connections for good, and others had none left (churn on the bench).
+def test_idle_connections_are_closed_sooner_when_few_are_left(monkeypatch: pytest.MonkeyPatch) -> None:
+    # In a load test with new clients for each request, idle connections were kept and others had none left.
     monkeypatch.setattr(frontend, "SPARE_IDLE_S", 0.05)
     run(
         play("""
@@ -514,8 +513,8 @@
     )
 
 
-def test_a_deadline_is_no_longer_than_the_class_allows() -> None:
-    # With X-Time-Left of an hour, one silent instance held its request for the hour.
+def test_a_deadline_is_capped_by_the_class() -> None:
+    # With X-Time-Left of an hour, a server that did not answer kept its request open for the hour.
     stage = run(
         play("""
         a send GET /grid-read/k X-Time-Left:3000
@@ -526,17 +525,17 @@
     assert stage.app.counters["taken"] == 1
 
 
-def test_ids_are_forgotten() -> None:
+def test_request_ids_expire() -> None:
     stage = run(play("a send POST /order/k\ni1 expect POST\ni1 send 200\na expect 200"))
-    client = stage.app.frontend
-    ((_, id),) = client._answered
-    assert client._ids == {id}
-    client._answered[0] = (0, id)
-    client.sweep()
-    assert not client._ids and not client._answered
+    client_listener = stage.app.frontend
+    ((_, id),) = client_listener._answered
+    assert client_listener._ids == {id}
+    client_listener._answered[0] = (0, id)
+    client_listener.sweep()
+    assert not client_listener._ids and not client_listener._answered
 
 
-def test_faults_at_full_speed_do_not_fill_the_log(caplog: pytest.LogCaptureFixture) -> None:
+def test_log_records_of_rejected_requests_are_rate_limited(caplog: pytest.LogCaptureFixture) -> None:
     steps = "a send GET /nothing\na expect 404\n" * 5 * frontend.REJECTS_LOGGED
     stage = run(play(steps))
     assert stage.app.counters["rejected.404"] == 5 * frontend.REJECTS_LOGGED
@@ -544,9 +543,9 @@
     assert logged <= 4 * frontend.REJECTS_LOGGED
 
 
-@pytest.mark.parametrize("steps", MORE.values(), ids=MORE)
-def test_what_comes_besides_a_good_answer_is_never_the_next_one(steps: str) -> None:
-    # aiohttp loses an answer with noise in its segment, and gives a copy to the connection's next request.
+@pytest.mark.parametrize("steps", SURPLUS_RESPONSES.values(), ids=SURPLUS_RESPONSES)
+def test_bytes_after_an_answer_never_answer_the_next_request(steps: str) -> None:
+    # aiohttp loses an answer with garbage in its segment, and gives a copy to the connection's next request.
     run(
         play(f"""
         a send POST /order/k
@@ -560,16 +559,16 @@
     )
 
 
-@pytest.mark.parametrize("more", [ONE, "noise", "HTTP/1.1 200 OK\\r\\n"])
-def test_what_comes_once_the_connection_is_idle_ends_it(more: str) -> None:
-    # The pool only asks whether a connection is still up: the copy was the next request's answer.
+@pytest.mark.parametrize("surplus", [ONE, "noise", "HTTP/1.1 200 OK\\r\\n"])
+def test_input_on_an_idle_server_connection_closes_it(surplus: str) -> None:
+    # The pool checked only whether a connection was still up, so the copy answered the next request.
     stage = run(
         play(f"""
         a send GET /grid-read/k
         i1 expect GET
         i1 send 200 one
         a expect 200 one
-        i1 send raw {more}
+        i1 send raw {surplus}
         a send GET /grid-read/k
         i2 expect GET
         i2 send 200 two
@@ -578,8 +577,8 @@
     assert stage.connections == 2
 
 
-@pytest.mark.parametrize("answer", SPOILT.values(), ids=SPOILT)
-def test_a_spoilt_answer_fails_at_once_and_closes_its_connection(answer: str) -> None:
+@pytest.mark.parametrize("answer", UNUSABLE_RESPONSES.values(), ids=UNUSABLE_RESPONSES)
+def test_an_invalid_answer_fails_at_once_and_closes_its_connection(answer: str) -> None:
     stage = run(
         play(f"""
         a send POST /order/k
@@ -591,8 +590,8 @@
     assert stage.app.counters["execution.garbled"] == 1
 
 
-def test_an_idle_connection_makes_room_for_one_that_is_needed_and_with_none_nothing_is_dialled() -> None:
-    # Past the limit every dial would fail, and count against an instance that is sound.
+def test_at_the_socket_limit_an_idle_connection_is_closed_or_no_new_one_is_opened() -> None:
+    # Past the limit every connect would fail and count against a healthy server.
     stage = run(
         play("""
         grid 2 sockets=64 instance_sockets=1
@@ -617,28 +616,29 @@
     assert stage.app.counters["execution.no_socket"] > 0 and stage.app.counters["execution.dial_failed"] == 0
 
 
-@pytest.mark.parametrize(("request_line", "status"), REJECTED)
-def test_bad_input_gets_a_plain_4xx_and_a_counter(request_line: str, status: int) -> None:
+@pytest.mark.parametrize(("request_line", "status"), REJECTED_REQUESTS)
+def test_a_rejected_request_gets_a_4xx_and_is_counted(request_line: str, status: int) -> None:
     stage = run(play(f"a send {request_line}\na expect {status}"))
     assert stage.app.counters[f"rejected.{status}"] == 1 and stage.app.counters["taken"] == 0
 
 
 @pytest.mark.parametrize(
-    ("grid", "ending"), [("grid 1 1", "dial_failed"), ("grid 1 0 1 dial_timeout_us=20000", "dial_timed_out")]
+    ("grid_step", "outcome"),
+    [("grid 1 1", "dial_failed"), ("grid 1 0 1 dial_timeout_us=20000", "dial_timed_out")],
 )
-def test_an_order_that_could_not_connect_is_sent_elsewhere(grid: str, ending: str) -> None:
+def test_an_order_whose_connect_failed_is_sent_to_another_server(grid_step: str, outcome: str) -> None:
     steps = [f"a send POST /order/{key}\ni1 expect POST\ni1 send 200\na expect 200" for key in "abcdefgh"]
-    stage = run(play("\n".join([grid, *steps])))
-    assert stage.app.counters["execution." + ending] > 0
+    stage = run(play("\n".join([grid_step, *steps])))
+    assert stage.app.counters["execution." + outcome] > 0
 
 
-def test_no_connection_idles_as_long_as_its_instance_allows() -> None:
-    # A request that crosses the instance's closing is a reset, and an order is then lost.
+def test_idle_connections_are_closed_before_the_server_closes_them() -> None:
+    # A request that crosses the server's close ends in a reset, and an order is then lost.
     assert IDLE_PART * 10 + pool.SWEEP_S < 0.9 * 10
 
 
-def test_a_silent_watch_is_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A cut connection to discovery says nothing: without this the balancer would never hear of a drain.
+def test_a_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
+    # A connection to discovery may be lost without a sign; then the balancer would never learn of a drain.
     monkeypatch.setattr(watch_timing, "SILENCE_S", 0.05)
     stage = run(
         play("""
@@ -653,17 +653,17 @@
 
 
 @pytest.mark.interpreted
-def test_an_exception_at_the_client_side_costs_only_its_own_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    # It must be answered as failed, never as 503 or 429, and the process goes on.
-    opened, sound = [], Engine.open
+def test_an_exception_in_the_frontend_fails_only_its_own_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    # It must be answered with 500, never with 503 or 429, and the process must continue.
+    opened, original_open = [], Engine.open
 
-    def open_but_the_first(engine: Engine, exchange: Exchange) -> None:
+    def fail_first_open(engine: Engine, exchange: Exchange) -> None:
         opened.append(exchange)
         if len(opened) == 1:
             raise RuntimeError("no idea")
-        sound(engine, exchange)
+        original_open(engine, exchange)
 
-    monkeypatch.setattr(Engine, "open", open_but_the_first)
+    monkeypatch.setattr(Engine, "open", fail_first_open)
     stage = run(
         play("""
         a send GET /grid-read/k
@@ -676,7 +676,7 @@
     assert stage.app.counters["fault.client"] == 1
 
 
-def test_a_body_of_the_largest_size_is_passed_on() -> None:
+def test_a_body_of_65536_bytes_is_forwarded() -> None:
     run(
         play("""
         a send POST /order/k body=65536
@@ -686,7 +686,7 @@
     )
 
 
-def test_connections_are_reused_before_new_ones_are_dialled() -> None:
+def test_server_connections_are_reused_before_new_ones_are_opened() -> None:
     steps = ["a send GET /grid-read/k\ni1 expect GET\ni1 send 200\na expect 200"] * 5
     stage = run(play("\n".join(steps)))
     assert stage.connections == 1
