--- a/tests/net/record_behaviour.py
+++ b/tests/net/record_behaviour.py
@@ -16,15 +16,15 @@
 sys.path[:0] = [str(ROOT)]
 
 import harness  # noqa: E402
-from corpus import CLIENT  # noqa: E402
+from corpus import CLIENT_MESSAGES  # noqa: E402
 from corpus_nodes import NODE  # noqa: E402
 
 BEHAVIOUR_PATH = Path(__file__).with_name("behaviour.json")
 MAX_BYTEWISE_BYTES = 3_000
 SETTLE_TURNS = 20  # loop iterations between two segments, so that the first has had its effect
 SIDES: dict[str, tuple[dict[str, bytes], Callable[..., object]]] = {
-    "client": (CLIENT, harness.client),
-    "node": (NODE, harness.node),
+    "client": (CLIENT_MESSAGES, harness.run_client),
+    "node": (NODE, harness.run_server),
 }
 
 
--- a/tests/net/test_flows.py
+++ b/tests/net/test_flows.py
@@ -9,7 +9,16 @@
 
 import harness
 from corpus import get
-from harness import Module, StubLoop, Wire, new_engine, new_instances, new_service_client, play, settle
+from harness import (
+    OneServerPolicy,
+    StubLoop,
+    StubTransport,
+    new_engine,
+    new_server_connections,
+    new_frontend,
+    send_segments,
+    settle,
+)
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
@@ -21,38 +30,38 @@
 class ProxiedClient:
     """A client's wire and the wire to the server, with a balancer between them."""
 
-    def __init__(self, loop: StubLoop, counters: harness.Recorded) -> None:
-        engine = new_engine(Module(), counters)
-        engine.executor = self.server_side = new_instances(engine, counters)
+    def __init__(self, loop: StubLoop, counters: harness.RecordingCounters) -> None:
+        engine = new_engine(OneServerPolicy(), counters)
+        engine.executor = self.server_side = new_server_connections(engine, counters)
         self.loop, self.engine, self.counters = loop, engine, counters
-        self.client = Wire(loop, new_service_client(engine, counters)())
+        self.client = StubTransport(loop, new_frontend(engine, counters)())
 
     @property
-    def server(self) -> Wire:
-        return self.loop.wires[1]
+    def server(self) -> StubTransport:
+        return self.loop.transports[1]
 
     async def finish(self) -> None:
-        self.client.leave()
+        self.client.disconnect()
         await settle(self.loop)
-        await harness.closed(self.server_side)
+        await harness.close_server_connections(self.server_side)
         await settle(self.loop)
         assert self.engine.requests_in_flight == 0
 
 
 async def feed(
-    loop: StubLoop, source: Wire, sink: Wire, pieces: list[bytes], paused_pieces: set[int]
+    loop: StubLoop, source: StubTransport, sink: StubTransport, pieces: list[bytes], paused_pieces: set[int]
 ) -> None:
     """Feeds the pieces to `source`; `sink` takes no output during those whose index is in `paused_pieces`."""
     for number, piece in enumerate(pieces):
         if number in paused_pieces and not sink.end:
             sink.protocol.pause_writing()
             had_output = bool(sink.written)
-            await play(loop, source, [piece], 1)
+            await send_segments(loop, source, [piece], 1)
             assert source.paused or not had_output or number == len(pieces) - 1  # not read meanwhile
             sink.protocol.resume_writing()
             await settle(loop)
         else:
-            await play(loop, source, [piece], 1)
+            await send_segments(loop, source, [piece], 1)
 
 
 def split_at(data: bytes, offsets: list[int]) -> list[bytes]:
@@ -116,12 +125,12 @@
     whole = b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n" + sent
     transmitted = whole if break_offset is None else whole[: len(whole) - 1 - break_offset % len(sent)]
 
-    async def main(loop: StubLoop, counters: harness.Recorded) -> None:
+    async def main(loop: StubLoop, counters: harness.RecordingCounters) -> None:
         proxied = ProxiedClient(loop, counters)
         await settle(loop)
-        await play(loop, proxied.client, [get().encode("latin-1")], 1)
+        await send_segments(loop, proxied.client, [get().encode("latin-1")], 1)
         await feed(loop, proxied.server, proxied.client, split_at(transmitted, offsets), paused_pieces)
-        proxied.server.leave(reset and break_offset is not None)
+        proxied.server.disconnect(reset and break_offset is not None)
         await settle(loop)
         received = bytes(proxied.client.written)
         served = received.startswith(b"HTTP/1.1 200")
@@ -169,11 +178,11 @@
         sent if break_offset is None else sent[: len(sent) - 1 - break_offset % (len(sent) - 65_540)]
     )
 
-    async def main(loop: StubLoop, counters: harness.Recorded) -> None:
+    async def main(loop: StubLoop, counters: harness.RecordingCounters) -> None:
         proxied = ProxiedClient(loop, counters)
         await settle(loop)
-        await play(loop, proxied.client, [transmitted[: len(head) + 65_537]], 1)
-        if len(loop.wires) > 1:
+        await send_segments(loop, proxied.client, [transmitted[: len(head) + 65_537]], 1)
+        if len(loop.transports) > 1:
             await feed(
                 loop,
                 proxied.client,
@@ -182,16 +191,18 @@
                 paused_pieces,
             )
         else:
-            await play(loop, proxied.client, [transmitted[len(head) + 65_537 :]], 1)
-        received = b"".join(bytes(wire.written) for wire in loop.wires[1:])
+            await send_segments(loop, proxied.client, [transmitted[len(head) + 65_537 :]], 1)
+        received = b"".join(bytes(wire.written) for wire in loop.transports[1:])
         if break_offset is not None and received:
-            (proxied.client if breaking_side == "client" else proxied.server).leave(True)
+            (proxied.client if breaking_side == "client" else proxied.server).disconnect(True)
             await settle(loop)
         arrived, complete = read_body(received) if received else (b"", False)
         assert body.startswith(arrived) and complete == (break_offset is None and bool(received))
         if break_offset is None:
             assert arrived == body
-            await play(loop, proxied.server, [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"], 1)
+            await send_segments(
+                loop, proxied.server, [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"], 1
+            )
             assert bytes(proxied.client.written).endswith(b"done") and not proxied.client.end
         elif received and breaking_side == "client":
             assert proxied.server.end  # the server must not wait for the rest
--- a/tests/net/test_slow.py
+++ b/tests/net/test_slow.py
@@ -5,22 +5,34 @@
 from typing import Any
 
 from corpus import get
-from harness import Answerer, Module, Recorded, StubLoop, Wire, new_engine, new_service_client, run, settle
+from harness import (
+    StubExecutor,
+    OneServerPolicy,
+    RecordingCounters,
+    StubLoop,
+    StubTransport,
+    new_engine,
+    new_frontend,
+    run,
+    settle,
+)
 
 from roadlb.net import client_connection, frontend
 
 
-async def connect_client(loop: StubLoop, counters: Recorded) -> tuple[Wire, Answerer, Any]:
-    engine = new_engine(Module(), counters)
-    engine.executor = answerer = Answerer(engine, 1)
-    client = new_service_client(engine, counters)
-    wire = Wire(loop, client())
+async def connect_client(
+    loop: StubLoop, counters: RecordingCounters
+) -> tuple[StubTransport, StubExecutor, Any]:
+    engine = new_engine(OneServerPolicy(), counters)
+    engine.executor = answerer = StubExecutor(engine, 1)
+    client = new_frontend(engine, counters)
+    wire = StubTransport(loop, client())
     await settle(loop)
     return wire, answerer, client
 
 
 def test_a_client_that_does_not_read_gets_no_further_request_started_and_its_input_is_bounded() -> None:
-    async def main(loop: StubLoop, counters: Recorded) -> None:
+    async def main(loop: StubLoop, counters: RecordingCounters) -> None:
         wire, answerer, _ = await connect_client(loop, counters)
         wire.feed(get(id=1).encode())
         await settle(loop)
@@ -44,7 +56,7 @@
 
 
 def test_a_client_that_never_reads_its_answer_is_disconnected() -> None:
-    async def main(loop: StubLoop, counters: Recorded) -> None:
+    async def main(loop: StubLoop, counters: RecordingCounters) -> None:
         wire, _, client = await connect_client(loop, counters)
         wire.feed(get(id=1).encode())
         await settle(loop)
@@ -60,10 +72,10 @@
 
 
 def test_input_after_an_open_request_is_buffered_up_to_a_bound() -> None:
-    async def main(loop: StubLoop, counters: Recorded) -> None:
-        engine = new_engine(Module(), counters)
-        engine.executor = answerer = Answerer(engine, 10_000)  # so no request is answered in this test
-        wire = Wire(loop, new_service_client(engine, counters)())
+    async def main(loop: StubLoop, counters: RecordingCounters) -> None:
+        engine = new_engine(OneServerPolicy(), counters)
+        engine.executor = answerer = StubExecutor(engine, 10_000)  # so no request is answered in this test
+        wire = StubTransport(loop, new_frontend(engine, counters)())
         await settle(loop)
         wire.feed(get(id=1).encode())
         await settle(loop)
