--- a/benchmarks/profile_path.py
+++ b/benchmarks/profile_path.py
@@ -46,7 +46,7 @@
         "client side: parsing": (
             r"(RequestHandler|_Connection)\.data_received ",
             r"HttpRequestParser",
-            r"ClientConnection\.(data_received|on_\w+|_pump) ",
+            r"ClientConnection\.(data_received|on_\w+|_process_input) ",
         ),
         "client side: the rest": (r"roadlb/net/(frontend|client_connection)", r"aiohttp/web_"),
         "instance side: reading the answer": (
--- a/roadlb/admin/door.py
+++ b/roadlb/admin/door.py
@@ -16,7 +16,7 @@
 from ..config import Address
 from ..counters import Counters
 from ..lifecycle.parts import Calls
-from ..net.http import plain
+from ..net.http import text_answer
 from ..net.sockets import Bind, Listener, listen
 
 logger = logging.getLogger(__name__)
@@ -65,8 +65,8 @@
             self._counters.add("admin.refused")
             if methods := self._paths.get(path):
                 allowed = ", ".join(methods)
-                return plain(405, f"{path} takes {allowed}", True, b"Allow: %b\r\n" % allowed.encode())
-            return plain(404, f"there is nothing here but {', '.join(self._paths)}", True)
+                return text_answer(405, f"{path} takes {allowed}", True, b"Allow: %b\r\n" % allowed.encode())
+            return text_answer(404, f"there is nothing here but {', '.join(self._paths)}", True)
         self._counters.add("admin.calls")
         try:
             status, text = call()
@@ -74,12 +74,12 @@
             self._counters.add("fault.admin")
             logger.exception("call failed")
             status, text = 500, "fault"
-        return plain(status, text, True)
+        return text_answer(status, text, True)
 
     def unread(self) -> bytes:
         """The answer to what is no call."""
         self._counters.add("admin.refused")
-        return plain(400, "this is no call", True)
+        return text_answer(400, "this is no call", True)
 
     async def close(self) -> None:
         if self._listener:
--- a/roadlb/app.py
+++ b/roadlb/app.py
@@ -34,10 +34,10 @@
 from .lifecycle.parts import Part, Parts
 from .lifecycle.succession import Succession
 from .log import fields
-from .net.http import HOLD, HOLD_TIGHT
+from .net.http import BODY_BUFFER_BYTES, SMALL_BODY_BUFFER_BYTES
 from .net.server_connections import ServerConnections
 from .net.discovery import ServerDiscovery
-from .net.sockets import Bind, listening
+from .net.sockets import Bind, listening_socket
 from .overload.readings import cpu_used_us, memory_bytes
 from .policy.interface import Settings
 from .policy.logic import Balancer
@@ -196,7 +196,7 @@
         longest = max(c.deadline_us for c in settings.classes)
         self.lifecycle.longest_us = max(self.lifecycle.longest_us, min(LONGEST_US, longest))
         if hasattr(self, "frontend"):
-            self.frontend.deadlines(settings)
+            self.frontend.set_deadlines(settings)
 
     # The lifecycle
 
@@ -221,7 +221,7 @@
                 self._refusing = action.on
                 self._limit(self._most_clients)
             elif isinstance(action, StopListening):
-                self._accepted = asyncio.create_task(self.listener.take(self.listener.close()))
+                self._accepted = asyncio.create_task(self.listener.serve_accepted(self.listener.close()))
             elif isinstance(action, Leave):
                 self._leave_by = action
                 self._leave.set()
@@ -243,7 +243,7 @@
     def _limit(self, clients: int) -> None:
         """So many connections of clients there may be, and as many requests, unless each is refused now."""
         self._most_clients = clients
-        self.frontend.limit(clients)
+        self.frontend.set_max_connections(clients)
         self.engine.set_max_open(0 if self._refusing else min(self.config.max_open, clients))
 
     def _beside(self, others: list[Held]) -> None:
@@ -286,8 +286,8 @@
         return connections + len(self.door.open) + OWN_SOCKETS
 
     def tighten(self, on: bool) -> None:
-        self.frontend.tight = on
-        self.server_connections.pool.hold = HOLD_TIGHT if on else HOLD
+        self.frontend.is_short_of_resources = on
+        self.server_connections.pool.hold = SMALL_BODY_BUFFER_BYTES if on else BODY_BUFFER_BYTES
 
     def print_counters(self, reason: str) -> None:
         """One log line with all counts and the last reading of the program's own load."""
@@ -320,7 +320,7 @@
         await self._leave.wait()
         if self._accepted:
             await self._accepted
-        await self.frontend.all_gone(self._leave_by.by_us, self._leave_by.written_by_us)
+        await self.frontend.wait_until_closed(self._leave_by.by_us, self._leave_by.written_by_us)
         await self.parts.stop()
 
     async def abandon(self) -> None:
@@ -345,7 +345,7 @@
 
 async def run(config: Config, read_again: Callable[[], Config] | None = None) -> None:
     """Serve until SIGTERM or SIGINT; SIGHUP has the configuration read again, SIGUSR1 prints the counters."""
-    app, loop, ended = App(config, bind=listening), asyncio.get_running_loop(), asyncio.Event()
+    app, loop, ended = App(config, bind=listening_socket), asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
     loop.add_signal_handler(signal.SIGUSR1, app.print_counters, "signal")
--- a/roadlb/net/frontend.py
+++ b/roadlb/net/frontend.py
@@ -22,47 +22,53 @@
 from ..policy.interface import Effect, Settings
 from ..wheel import Timer, TimerWheel
 from .client_connection import BadRequest, ClientConnection, Request
-from .headers import ACCOUNT, CORRELATION_ID, FACTS, HOST, REPEAT, TIME_LEFT, Faulty, name_values
-from .http import HOLD, HOLD_TIGHT, answered, empty, plain
-from .sockets import unread
+from .headers import ACCOUNT, CORRELATION_ID, FACTS, HOST, REPEAT, TIME_LEFT, HeaderError, parse_name_values
+from .http import BODY_BUFFER_BYTES, SMALL_BODY_BUFFER_BYTES, encode_answer, empty_answer, text_answer
+from .sockets import has_unread_bytes
 
 logger = logging.getLogger(__name__)
 
 # What the way here and back takes off a client's time.  The bench measured at the 99th percentile, from a
 # client's send to the first attempt and from an instance's answer to the client, 2.9 and 2.0 ms on a calm
 # day, 8.2 and 5.8 ms on an overloaded one.
-MARGIN_US = 10_000
-REQUEST_S = 2.6  # for a request to come whole, from its first byte, or from connecting for the first
-STUCK_S = 15.0  # for a client to take more of a body that flows, or for a node to
-IDLE_S = 10.0  # for a connection between requests
-SPARE_IDLE_S = 2.0  # and if connections are not plentiful, the longest idle may go after this
-PLENTY, FEW = 1 / 3, 3 / 4  # of the connections that there may be: up to here, and from here on
-SILENT_S = 0.5  # a client that means to ask has asked by then
-SWEEP_S = 0.25
-PAUSED_LOOK_US = 20_000  # how often the clients that are not read are asked whether they have left
+NETWORK_MARGIN_US = 10_000
+REQUEST_TIMEOUT_S = 2.6  # for a request to come whole, from its first byte, or from connecting for the first
+WRITE_TIMEOUT_S = 15.0  # for a client to take more of a body that flows, or for a node to
+IDLE_TIMEOUT_S = 10.0  # for a connection between requests
+SHORT_IDLE_TIMEOUT_S = 2.0  # and if connections are not plentiful, the longest idle may go after this
+LOW_USE_RATIO, HIGH_USE_RATIO = (
+    1 / 3,
+    3 / 4,
+)  # of the connections that there may be: up to here, and from here on
+FIRST_REQUEST_GRACE_S = 0.5  # a client that means to ask has asked by then
+SWEEP_INTERVAL_S = 0.25
+PAUSED_CHECK_INTERVAL_US = 20_000  # how often the clients that are not read are asked whether they have left
 LINGER_S = 0.3  # for a client to close too, once the last answer on its connection and our end are out
-TIME_LEFT_MOST_S = 3_600.0
-RECENT_US = 5_000_000  # an id is not taken again for so long after its answer ...
-RECENT_MOST = 20_000  # ... or until so many others have come
-TARGETS_KEPT, TARGET_MOST = 4_096, 128  # targets remembered, and how long one may be for that
+MAX_TIME_LEFT_S = 3_600.0
+ID_RETENTION_US = 5_000_000  # an id is not taken again for so long after its answer ...
+MAX_RETAINED_IDS = 20_000  # ... or until so many others have come
+MAX_CACHED_TARGETS, MAX_CACHED_TARGET_BYTES = (
+    4_096,
+    128,
+)  # targets remembered, and how long one may be for that
 # One whole read in the form that clients send it: only headers that say nothing of a body or the connection.
-PLAIN_READ = re.compile(
+SIMPLE_GET = re.compile(
     rb"GET (/[!-~]*) HTTP/1\.1\r\n"
     rb"(?:(?:Host|X-Correlation-Id|X-Time-Left|X-Repeat|Accept|User-Agent): [ -~]+\r\n|"
     rb"X-Account: ([!-~]+)\r\n)+\r\n"
 ).fullmatch
-PASSABLE = re.compile(rb'[!"$-~]*').fullmatch
-REJECTS_LOGGED = 20  # a second; the others are only counted
+FORWARDABLE = re.compile(rb'[!"$-~]*').fullmatch
+MAX_LOGGED_REJECTS_PER_S = 20  # a second; the others are only counted
 
 
-def key_number(key: bytes) -> int:
+def hash_key(key: bytes) -> int:
     """A key as the module wants it: 64 bits, alike in every process; 0 stands for none."""
     return int.from_bytes(blake2b(key, digest_size=8).digest(), "little") or 1 if key else 0
 
 
-def passable(target: bytes) -> bool:
+def is_forwardable(target: bytes) -> bool:
     """May this target go into a request line as it is?  What is no ASCII, or ends it, may not."""
-    return PASSABLE(target) is not None and target[-1:] != b"?"
+    return FORWARDABLE(target) is not None and target[-1:] != b"?"
 
 
 def read_target(target: bytes) -> tuple[bytes, int, bool]:
@@ -70,11 +76,11 @@
     if not target.startswith(b"/"):
         return b"", 0, False
     parts = target.partition(b"?")[0].split(b"/")
-    return parts[1], key_number(parts[-1] if len(parts) > 2 else b""), passable(target)
+    return parts[1], hash_key(parts[-1] if len(parts) > 2 else b""), is_forwardable(target)
 
 
 # Most requests are for one of some thousand targets; reading one anew takes 6 us.
-read_again = lru_cache(TARGETS_KEPT)(read_target)
+read_target_cached = lru_cache(MAX_CACHED_TARGETS)(read_target)
 
 
 class Frontend:
@@ -85,15 +91,15 @@
         config: Config,
         engine: Engine,
         counters: Counters,
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
         clock: Clock,
         wheel: TimerWheel,
-        came_us: Callable[[asyncio.Transport], int] | None = None,
+        arrived_us: Callable[[asyncio.Transport], int] | None = None,
     ) -> None:
         """`ready`: is a node known?  `came_us`: when bytes read now may first have come (default: now)."""
         self.counters, self.clock = counters, clock
-        self.came_us = came_us or (lambda transport: clock())
-        self._engine, self._ready, self._wheel = engine, ready, wheel
+        self.arrived_us = arrived_us or (lambda transport: clock())
+        self._engine, self._is_ready, self._wheel = engine, is_ready, wheel
         classes = config.settings.classes
         # A name that no path can hold as it is comes in its percent-encoded form.
         self._classes = {quote(c.name, safe="").encode(): i for i, c in enumerate(classes)}
@@ -101,178 +107,186 @@
         self._methods = [b"GET" if c.effect is Effect.SAFE else b"POST" for c in classes]
         self._deadlines_us = [c.deadline_us for c in classes]
         self._tenants = {t.name.encode(): i for i, t in enumerate(config.settings.tenants)}
-        self._most, self._name = config.client_sockets, config.name.encode()
-        self._ids: set[bytes] = set()  # those that are open, or were answered lately
-        self._answered: deque[tuple[int, bytes]] = deque()  # the latter, until which time they count
-        self._rejects = Limit(clock, REJECTS_LOGGED)
+        self._max_connections, self._name = config.client_sockets, config.name.encode()
+        self._known_ids: set[bytes] = set()  # those that are open, or were answered lately
+        self._expiring_ids: deque[tuple[int, bytes]] = deque()  # the latter, until which time they count
+        self._reject_log_limit = Limit(clock, MAX_LOGGED_REJECTS_PER_S)
         self.connections: dict[ClientConnection, None] = {}  # in the order in which they came
-        self._paused: dict[ClientConnection, None] = {}  # those that are not read for now
-        self._all_ended: asyncio.Future[None] | None = None
+        self._paused_connections: dict[ClientConnection, None] = {}  # those that are not read for now
+        self._all_closed: asyncio.Future[None] | None = None
         self.draining = False  # each answer ends its connection
-        self.tight = False  # memory or descriptors are short: idle connections go sooner
+        self.is_short_of_resources = False  # memory or descriptors are short: idle connections go sooner
 
     def __call__(self) -> asyncio.Protocol:
         """A protocol for a new connection."""
         return cast(asyncio.Protocol, ClientConnection(self))
 
-    def limit(self, connections: int) -> None:
+    def set_max_connections(self, connections: int) -> None:
         """So many connections there may be from now on; those that are open stay."""
-        self._most = connections
+        self._max_connections = connections
 
-    def deadlines(self, settings: Settings) -> None:
+    def set_deadlines(self, settings: Settings) -> None:
         """Those that hold from now on; a request that was read keeps its own."""
         self._deadlines_us = [c.deadline_us for c in settings.classes]
 
     # Connections
 
-    def connected(self, new: ClientConnection) -> None:
+    def on_connected(self, new: ClientConnection) -> None:
         """Past the limit of connections, each new one costs another: one that says nothing, or idles.
 
         To close one that idles harms least: a request that crosses it is sent once more.
         """
         self.connections[new] = None
-        if len(self.connections) <= self._most:
+        if len(self.connections) <= self._max_connections:
             return
-        if sum(holds_descriptor(c) for c in self.connections) <= self._most:
+        if sum(holds_descriptor(c) for c in self.connections) <= self._max_connections:
             return  # others are just being closed
-        if lingering := next((c for c in self.connections if c.lingers), None):
-            lingering.linger_over()  # it only waits for its client's end
+        if lingering := next((c for c in self.connections if c.is_lingering), None):
+            lingering.end_linger()  # it only waits for its client's end
             return
         self.counters.add("client.crowded")
-        spare = self._spare(new)
+        spare = self._least_needed(new)
         if has_unread(spare):
             spare.close()  # its request is thrown away, not reset, so that the client reads an orderly end
         else:
             spare.close_at_once()
 
-    def _spare(self, new: ClientConnection) -> ClientConnection:
+    def _least_needed(self, new: ClientConnection) -> ClientConnection:
         """The connection that is missed least; one with bytes on their way in is about to ask."""
-        quiet, before = self._quiet(), self.clock() - int(SILENT_S * 1e6)
-        silent = [c for c in quiet if not c.asked]  # the new one is the last of them
-        idle = [c for c in quiet if c.asked and not c.started_us]
-        for spare in ([c for c in silent if c.since_us < before], idle, silent[:-1], silent):
-            spare.sort(key=lambda c: c.since_us)
+        quiet, accepted_before_us = self._without_request(), self.clock() - int(FIRST_REQUEST_GRACE_S * 1e6)
+        silent = [c for c in quiet if not c.has_sent_request]  # the new one is the last of them
+        idle = [c for c in quiet if c.has_sent_request and not c.request_started_us]
+        for spare in ([c for c in silent if c.idle_since_us < accepted_before_us], idle, silent[:-1], silent):
+            spare.sort(key=lambda c: c.idle_since_us)
             if found := next((c for c in spare if not has_unread(c)), None):
                 return found
         return new
 
-    def disconnected(self, connection: ClientConnection) -> None:
+    def on_disconnected(self, connection: ClientConnection) -> None:
         self.connections.pop(connection, None)
-        self.abandon(connection)
-        if self._all_ended and not self.connections and not self._all_ended.done():
-            self._all_ended.set_result(None)
+        self.abandon_exchange(connection)
+        if self._all_closed and not self.connections and not self._all_closed.done():
+            self._all_closed.set_result(None)
 
-    def _quiet(self) -> list[ClientConnection]:
-        return [c for c in self.connections if not ended(c) and not c.busy]
+    def _without_request(self) -> list[ClientConnection]:
+        return [c for c in self.connections if not is_closing(c) and not c.is_busy]
 
     @property
-    def ending(self) -> bool:
+    def closes_after_answer(self) -> bool:
         """Does each answer end its connection now, as the program ends or connections are few?"""
-        return self.draining or len(self.connections) > self._most * FEW
+        return self.draining or len(self.connections) > self._max_connections * HIGH_USE_RATIO
 
     @property
-    def hold(self) -> int:
+    def body_buffer_bytes(self) -> int:
         """So many bytes of a body are held before it flows."""
-        return HOLD_TIGHT if self.tight else HOLD
+        return SMALL_BODY_BUFFER_BYTES if self.is_short_of_resources else BODY_BUFFER_BYTES
 
     @property
-    def short(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Is part of the demand to be refused for want of the program's own means?"""
         return self._engine.is_process_overloaded
 
-    def linger(self, connection: ClientConnection) -> Timer:
+    def start_linger(self, connection: ClientConnection) -> Timer:
         """Have it told when its client has had its time to close."""
         return self._wheel.call_at(
-            self.clock() + int(LINGER_S * 1e6), ClientConnection.linger_over, connection
+            self.clock() + int(LINGER_S * 1e6), ClientConnection.end_linger, connection
         )
 
     def watch_paused(self, connection: ClientConnection) -> None:
         """Its transport does not read, and so does not tell that its client leaves: look after it."""
-        if not self._paused:
-            self._wheel.call_at(self.clock() + PAUSED_LOOK_US, Frontend._look_at_paused, self)
-        self._paused[connection] = None
+        if not self._paused_connections:
+            self._wheel.call_at(self.clock() + PAUSED_CHECK_INTERVAL_US, Frontend._check_paused, self)
+        self._paused_connections[connection] = None
 
-    def _look_at_paused(self) -> None:
-        paused, self._paused = self._paused, {}
+    def _check_paused(self) -> None:
+        paused, self._paused_connections = self._paused_connections, {}
         for connection in paused:
-            if connection.reading_paused and not connection.check_client_gone():
+            if connection.is_reading_paused and not connection.check_client_gone():
                 self.watch_paused(connection)
 
-    async def sweep_for_ever(self) -> None:
+    async def run_sweeps(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.sweep()
 
     def sweep(self) -> None:
         """End the connections that have been silent or idle for too long, and forget old ids."""
         now = self.clock()
         # Clients hold only so many connections: one that is kept idle is one that another may be waiting for.
-        plenty = len(self.connections) <= self._most * PLENTY and not self.tight
-        idle_s = IDLE_S if plenty else SPARE_IDLE_S
+        is_use_low = (
+            len(self.connections) <= self._max_connections * LOW_USE_RATIO and not self.is_short_of_resources
+        )
+        idle_s = IDLE_TIMEOUT_S if is_use_low else SHORT_IDLE_TIMEOUT_S
         for connection in list(self.connections):
-            if overdue(connection, now, idle_s):
-                if connection.stuck_us or connection.closing_us:
+            if is_overdue(connection, now, idle_s):
+                if connection.write_blocked_since_us or connection.closing_since_us:
                     self.counters.add("client.overdue")
                     connection.abort()
-                elif connection.reading_paused or not has_unread(connection):
+                elif connection.is_reading_paused or not has_unread(connection):
                     self.counters.add("client.overdue")
                     connection.time_out()
-        while self._answered and (self._answered[0][0] <= now or len(self._answered) > RECENT_MOST):
-            self._ids.discard(self._answered.popleft()[1])
+        while self._expiring_ids and (
+            self._expiring_ids[0][0] <= now or len(self._expiring_ids) > MAX_RETAINED_IDS
+        ):
+            self._known_ids.discard(self._expiring_ids.popleft()[1])
 
-    def close_idle(self, part: float) -> None:
+    def close_idle(self, share: float) -> None:
         """Close this part of the connections that carry no request, the longest idle first.
 
         One that was accepted a moment ago may have its first request on the way, and its client could not
         tell that it was never read: it is left alone for as long as a client takes that means to ask.
         """
-        before = self.clock() - int(SILENT_S * 1e6)
-        idle = [c for c in self._quiet() if not c.started_us and (c.asked or c.since_us <= before)]
-        idle.sort(key=lambda c: c.since_us)
-        for connection in idle[: ceil(len(idle) * part)]:
+        accepted_before_us = self.clock() - int(FIRST_REQUEST_GRACE_S * 1e6)
+        idle = [
+            c
+            for c in self._without_request()
+            if not c.request_started_us and (c.has_sent_request or c.idle_since_us <= accepted_before_us)
+        ]
+        idle.sort(key=lambda c: c.idle_since_us)
+        for connection in idle[: ceil(len(idle) * share)]:
             if not has_unread(connection):
                 connection.close()
 
     def close_unfinished(self) -> None:
         """Close the connections that have begun a request and not ended it."""
-        for connection in self._quiet():
-            if connection.started_us and not has_unread(connection):
+        for connection in self._without_request():
+            if connection.request_started_us and not has_unread(connection):
                 connection.close()
 
-    async def all_gone(self, until_us: int, written_by_us: int) -> None:
+    async def wait_until_closed(self, until_us: int, written_by_us: int) -> None:
         """Wait until no connection is left, or the clock shows this time; then end what is left.
 
         Those on which an answer is still being written, or on which bytes wait to be read, have until
         `written_by_us`.
         """
-        await self._none_left(until_us)
+        await self._wait_none_left(until_us)
         for connection in list(self.connections):
-            if not unsettled(connection):
+            if not has_pending_io(connection):
                 connection.abort()
-        await self._none_left(written_by_us)
+        await self._wait_none_left(written_by_us)
         for connection in list(self.connections):
             connection.abort()
 
-    async def _none_left(self, until_us: int) -> None:
+    async def _wait_none_left(self, until_us: int) -> None:
         if self.connections:
-            self._all_ended = asyncio.get_running_loop().create_future()
-            await asyncio.wait([self._all_ended], timeout=max(0, until_us - self.clock()) / 1e6)
+            self._all_closed = asyncio.get_running_loop().create_future()
+            await asyncio.wait([self._all_closed], timeout=max(0, until_us - self.clock()) / 1e6)
 
     # Requests
 
     def serve(self, connection: ClientConnection, request: Request) -> None:
         """Give a whole request to the engine, or answer it at once."""
-        if request.target.partition(b"?")[0] == b"/healthz" and not request.faulty:
-            last = connection.last
-            connection.reply(empty(200 if self._ready() else 503, last), last)
+        if request.target.partition(b"?")[0] == b"/healthz" and not request.error:
+            is_last = connection.is_last
+            connection.reply(empty_answer(200 if self._is_ready() else 503, is_last), is_last)
             return
         try:
-            if request.faulty:
-                raise request.faulty
-            exchange = self._exchange(connection, request)
-            id = self._take_id(request)
+            if request.error:
+                raise request.error
+            exchange = self._new_exchange(connection, request)
+            id = self._reserve_id(request)
         except BadRequest as e:
-            self._reject(connection, request, e)
+            self._answer_error(connection, request, e)
             return
         connection.exchange, connection.id = exchange, id
         try:
@@ -282,55 +296,57 @@
             logger.exception("request failed")
             if connection.exchange is exchange:
                 connection.exchange = None
-                self._release(connection)
-                connection.reject(plain(500, "fault", last=True))
+                self._retain_id(connection)
+                connection.reply_and_close(text_answer(500, "fault", is_last=True))
 
-    def uploaded(self, connection: ClientConnection) -> None:
+    def on_upload_complete(self, connection: ClientConnection) -> None:
         """The body of its open request is whole."""
         if connection.exchange is not None:
             self._engine.body_complete(connection.exchange)
 
-    def abandon(self, connection: ClientConnection) -> None:
+    def abandon_exchange(self, connection: ClientConnection) -> None:
         """What it asked for cannot go on: its body is faulty, or nobody takes it."""
         if exchange := connection.exchange:
             connection.exchange = None
             self._engine.client_gone(exchange)
-            self._release(connection)
+            self._retain_id(connection)
 
-    def answered(self, connection: ClientConnection) -> None:
+    def on_answered(self, connection: ClientConnection) -> None:
         """Its exchange has had its final answer."""
-        connection.since_us = now = self.clock()
-        self._answered.append((now + RECENT_US, connection.id))
+        connection.idle_since_us = now = self.clock()
+        self._expiring_ids.append((now + ID_RETENTION_US, connection.id))
 
-    def offer(self, request: Request) -> Refusal | None:
+    def check_before_body(self, request: Request) -> Refusal | None:
         """Would this request, whose body has not come, be refused now?  Then its body need not be read."""
         try:
-            class_index, tenant, key, left_us, work_us = self._understand(request)
+            class_index, tenant, key, left_us, work_us = self._classify(request)
         except BadRequest:
             return None  # it is told so in its turn
-        left_us -= self.clock() - request.came_us
+        left_us -= self.clock() - request.arrived_us
         return self._engine.check_admission(class_index, tenant, key, max(1, left_us), work_us)
 
-    def refuse_at_once(self, data: bytes, last: bool) -> bytes:
+    def refuse_unparsed(self, data: bytes, is_last: bool) -> bytes:
         """The refusal of what is one plain read and nothing else, if the module would refuse it; else b"".
 
         While the program is short of its own means it must refuse more than it can read: no parser, exchange
         or table of ids is needed to say no.  Whatever is not of the plainest form goes the usual way.
         """
-        read = PLAIN_READ(data)
+        read = SIMPLE_GET(data)
         if read is None:
             return b""
-        name, key, fit = (read_again if len(read[1]) <= TARGET_MOST else read_target)(read[1])
+        name, key, can_forward = (
+            read_target_cached if len(read[1]) <= MAX_CACHED_TARGET_BYTES else read_target
+        )(read[1])
         class_index = self._classes.get(name)
         tenant = self._tenants.get(read[2]) if self._tenants else 0
-        if class_index is None or self._methods[class_index] != b"GET" or tenant is None or not fit:
+        if class_index is None or self._methods[class_index] != b"GET" or tenant is None or not can_forward:
             return b""
         refusal = self._engine.check_admission(class_index, tenant, key, self._deadlines_us[class_index], 0)
-        return answered(refusal, last) if refusal else b""
+        return encode_answer(refusal, is_last) if refusal else b""
 
-    def _reject(self, connection: ClientConnection, request: Request, e: BadRequest) -> None:
+    def _answer_error(self, connection: ClientConnection, request: Request, e: BadRequest) -> None:
         self.counters.add(f"rejected.{e.status}")
-        if self._rejects.allows():  # whoever sends faults at full speed must not fill the log too
+        if self._reject_log_limit.allows():  # whoever sends faults at full speed must not fill the log too
             logger.warning(
                 "request rejected",
                 extra=fields(
@@ -340,53 +356,57 @@
                     target=request.target[:200].decode("latin-1"),
                 ),
             )
-        last = e.closes or connection.last
-        answer = plain(e.status, e.reason, last, e.more)
+        is_last = e.closes_connection or connection.is_last
+        answer = text_answer(e.status, e.reason, is_last, e.extra_headers)
         if request.method == b"HEAD":
             answer = answer[: answer.index(b"\r\n\r\n") + 4]
-        if e.closes:
-            connection.reject(answer)
+        if e.closes_connection:
+            connection.reply_and_close(answer)
         else:
-            connection.reply(answer, last)
+            connection.reply(answer, is_last)
 
-    def _take_id(self, request: Request) -> bytes:
+    def _reserve_id(self, request: Request) -> bytes:
         """An id that is open must not reach an instance twice, whoever sends it: orders never run twice."""
         id = request.headers.fields[CORRELATION_ID]
-        if id in self._ids:
+        if id in self._known_ids:
             raise BadRequest(409, "X-Correlation-Id is in use")
-        self._ids.add(id)
+        self._known_ids.add(id)
         return id
 
-    def _release(self, connection: ClientConnection) -> None:
-        self._answered.append((self.clock() + RECENT_US, connection.id))
+    def _retain_id(self, connection: ClientConnection) -> None:
+        self._expiring_ids.append((self.clock() + ID_RETENTION_US, connection.id))
 
-    def _understand(self, request: Request) -> tuple[int, int, int, int, int]:
+    def _classify(self, request: Request) -> tuple[int, int, int, int, int]:
         """Class, tenant, key, time left when it came and work (both us) of a request, or BadRequest."""
-        target, told = request.target, request.headers.fields
-        name, key, fit = (read_again if len(target) <= TARGET_MOST else read_target)(target)
+        target, headers = request.target, request.headers.fields
+        name, key, can_forward = (
+            read_target_cached if len(target) <= MAX_CACHED_TARGET_BYTES else read_target
+        )(target)
         class_index = self._classes.get(name)
         if class_index is None:
             raise BadRequest(404, "the path's first part names no class")
-        if not fit:
+        if not can_forward:
             raise BadRequest(400, "the target cannot be passed on unchanged")
         if request.method != (method := self._methods[class_index]):
-            raise BadRequest(405, f"this class takes {method.decode()}", more=b"Allow: %b\r\n" % method)
-        if request.size and method == b"GET":
+            raise BadRequest(
+                405, f"this class takes {method.decode()}", extra_headers=b"Allow: %b\r\n" % method
+            )
+        if request.body_size and method == b"GET":
             raise BadRequest(400, "a GET has no body here")
-        if not told.get(CORRELATION_ID):
+        if not headers.get(CORRELATION_ID):
             raise BadRequest(400, "X-Correlation-Id is missing")
-        tenant = self._tenants.get(told.get(ACCOUNT, b"")) if self._tenants else 0
+        tenant = self._tenants.get(headers.get(ACCOUNT, b"")) if self._tenants else 0
         if tenant is None:
             raise BadRequest(400, "X-Account names no tenant")
-        left_us = self._left_us(told.get(TIME_LEFT), class_index)
-        return class_index, tenant, key, left_us, _work_us(told.get(FACTS))
+        left_us = self._time_left_us(headers.get(TIME_LEFT), class_index)
+        return class_index, tenant, key, left_us, _work_us(headers.get(FACTS))
 
-    def _exchange(self, connection: ClientConnection, request: Request) -> Exchange:
+    def _new_exchange(self, connection: ClientConnection, request: Request) -> Exchange:
         """Check a request and put into an exchange what the two sides need to know of it."""
-        class_index, tenant, key, left_us, work_us = self._understand(request)
+        class_index, tenant, key, left_us, work_us = self._classify(request)
         try:
-            head = request.headers.passed_on()
-        except Faulty as e:
+            head = request.headers.forwarded()
+        except HeaderError as e:
             raise BadRequest(400, str(e)) from None
         if HOST not in request.headers.fields:  # as HTTP/1.0 may; the instance is spoken to in 1.1
             head = b"Host: %b\r\n%b" % (self._name, head)
@@ -400,21 +420,21 @@
             request.headers.fields.get(REPEAT) == b"1",
             connection.on_answer,
             # One that waited, in line behind another or for us to read it, has used that time up.
-            request.came_us,
+            request.arrived_us,
             connection.check_client_gone,
         )
 
-    def _left_us(self, text: bytes | None, class_index: int) -> int:
+    def _time_left_us(self, text: bytes | None, class_index: int) -> int:
         if text is None:
             return self._deadlines_us[class_index]
         try:
             left = float(text)
         except ValueError:
             left = -1.0
-        if not 0 < left <= TIME_LEFT_MOST_S:
+        if not 0 < left <= MAX_TIME_LEFT_S:
             raise BadRequest(400, "X-Time-Left is no number of seconds")
         # No client waits for longer than its class allows; one that says so must not hold an instance.
-        return max(1, min(int(left * 1e6), self._deadlines_us[class_index]) - MARGIN_US)
+        return max(1, min(int(left * 1e6), self._deadlines_us[class_index]) - NETWORK_MARGIN_US)
 
 
 def holds_descriptor(connection: ClientConnection) -> bool:
@@ -422,42 +442,47 @@
     return connection.transport is not None and not connection.transport.is_closing()
 
 
-def ended(connection: ClientConnection) -> bool:
+def is_closing(connection: ClientConnection) -> bool:
     """Is it closed, or being closed?"""
     transport = connection.transport
-    return transport is None or connection.closing_us != 0 or transport.is_closing()
+    return transport is None or connection.closing_since_us != 0 or transport.is_closing()
 
 
 def has_unread(connection: ClientConnection) -> bool:
     """Have bytes come that it has not read?  They may end a request, which is then owed an answer."""
-    return connection.transport is not None and unread(connection.transport)
+    return connection.transport is not None and has_unread_bytes(connection.transport)
 
 
-def unsettled(connection: ClientConnection) -> bool:
+def has_pending_io(connection: ClientConnection) -> bool:
     """Is an answer being written, or have bytes come that were not read?"""
     transport = connection.transport
     if transport is None:
         return False
-    return connection.flowing or transport.get_write_buffer_size() > 0 or unread(transport)
+    return (
+        connection.is_streaming_answer or transport.get_write_buffer_size() > 0 or has_unread_bytes(transport)
+    )
 
 
-def overdue(connection: ClientConnection, now: int, idle_s: float) -> bool:
+def is_overdue(connection: ClientConnection, now: int, idle_s: float) -> bool:
     """Has it been silent, at one request, or at not taking an answer for too long?  `now` in microseconds."""
-    if connection.stuck_us:
-        return now - connection.stuck_us > (STUCK_S if connection.flowing else REQUEST_S) * 1e6
-    if connection.closing_us:
-        return now - connection.closing_us > STUCK_S * 1e6
-    if connection.uploading:
+    if connection.write_blocked_since_us:
+        return (
+            now - connection.write_blocked_since_us
+            > (WRITE_TIMEOUT_S if connection.is_streaming_answer else REQUEST_TIMEOUT_S) * 1e6
+        )
+    if connection.closing_since_us:
+        return now - connection.closing_since_us > WRITE_TIMEOUT_S * 1e6
+    if connection.is_uploading:
         return (
-            now - connection.unwanted_us > STUCK_S * 1e6
-            if connection.unwanted_us
-            else now - connection.started_us > REQUEST_S * 1e6
+            now - connection.body_paused_since_us > WRITE_TIMEOUT_S * 1e6
+            if connection.body_paused_since_us
+            else now - connection.request_started_us > REQUEST_TIMEOUT_S * 1e6
         )
-    if connection.busy or connection.deaf:
+    if connection.is_busy or connection.ignores_input:
         return False
-    if connection.started_us or not connection.asked:
-        return now - (connection.started_us or connection.since_us) > REQUEST_S * 1e6
-    return now - connection.since_us > idle_s * 1e6
+    if connection.request_started_us or not connection.has_sent_request:
+        return now - (connection.request_started_us or connection.idle_since_us) > REQUEST_TIMEOUT_S * 1e6
+    return now - connection.idle_since_us > idle_s * 1e6
 
 
 def _work_us(facts: bytes | None) -> int:
@@ -465,6 +490,6 @@
     if not facts:
         return 0
     try:
-        return max(0, int(float(name_values(facts.decode("latin-1")).get("expected_us", "0"))))
+        return max(0, int(float(parse_name_values(facts.decode("latin-1")).get("expected_us", "0"))))
     except (ValueError, OverflowError):
         return 0
--- a/roadlb/net/headers.py
+++ b/roadlb/net/headers.py
@@ -10,12 +10,20 @@
 
 CORRELATION_ID, ACCOUNT, TIME_LEFT = b"x-correlation-id", b"x-account", b"x-time-left"
 REPEAT, FACTS, LOAD, UNPROCESSED = b"x-repeat", b"x-facts", b"x-backend-load", b"x-unprocessed"
-CONNECTION, LENGTH, ENCODING, EXPECT = b"connection", b"content-length", b"transfer-encoding", b"expect"
+CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING, EXPECT = (
+    b"connection",
+    b"content-length",
+    b"transfer-encoding",
+    b"expect",
+)
 HOST = b"host"
 
-REPORTS_KEPT, REPORT_MOST = 1_024, 128  # reports remembered, and how long one may be for that
+MAX_CACHED_REPORTS, MAX_CACHED_REPORT_BYTES = (
+    1_024,
+    128,
+)  # reports remembered, and how long one may be for that
 # Of one connection only (RFC 9110, 7.6.1), or made anew for the next.
-NOT_PASSED_ON = frozenset(
+NOT_FORWARDED = frozenset(
     {
         CONNECTION,
         b"keep-alive",
@@ -24,9 +32,9 @@
         b"proxy-authorization",
         b"te",
         b"trailer",
-        ENCODING,
+        TRANSFER_ENCODING,
         b"upgrade",
-        LENGTH,
+        CONTENT_LENGTH,
         EXPECT,
         TIME_LEFT,
         LOAD,
@@ -36,12 +44,12 @@
 # Some readers take these for the names with hyphens, and would see another length than we do.
 LOOK_ALIKE = frozenset({b"content_length", b"transfer_encoding"})
 # Tokens of Connection that name no header, and what no request may lose on its way.
-OF_CONNECTION = frozenset({b"", b"close", b"keep-alive", b"upgrade", b"te", HOST, CORRELATION_ID, ACCOUNT})
+NOT_HOP_BY_HOP = frozenset({b"", b"close", b"keep-alive", b"upgrade", b"te", HOST, CORRELATION_ID, ACCOUNT})
 # Who reads the other of two of these takes the request for another's.
-ONCE = frozenset({CORRELATION_ID, ACCOUNT, TIME_LEFT, HOST})
+SINGLE_VALUED = frozenset({CORRELATION_ID, ACCOUNT, TIME_LEFT, HOST})
 
 
-class Faulty(Exception):
+class HeaderError(Exception):
     """Headers that the next reader could take for others; the text is for a person."""
 
 
@@ -54,68 +62,85 @@
     `twice`: one of ONCE came again; `look_alike`: one of LOOK_ALIKE came.
     """
 
-    __slots__ = ("encodings", "fields", "hop", "lengths", "lines", "look_alike", "size", "twice")
+    __slots__ = (
+        "transfer_encodings",
+        "fields",
+        "hop_by_hop",
+        "content_lengths",
+        "forwarded_lines",
+        "has_look_alike",
+        "size",
+        "has_duplicates",
+    )
 
     def __init__(self, pairs: Iterable[tuple[bytes, bytes]] = ()) -> None:
         self.fields: dict[bytes, bytes] = {}
-        self.lines: list[bytes] = []
-        self.lengths: tuple[bytes, ...] = ()
-        self.encodings: tuple[bytes, ...] = ()
-        self.hop: tuple[bytes, ...] = ()
-        self.look_alike = self.twice = False
-        fields, lines, size = self.fields, self.lines, 0
+        self.forwarded_lines: list[bytes] = []
+        self.content_lengths: tuple[bytes, ...] = ()
+        self.transfer_encodings: tuple[bytes, ...] = ()
+        self.hop_by_hop: tuple[bytes, ...] = ()
+        self.has_look_alike = self.has_duplicates = False
+        fields, forwarded_lines, size = self.fields, self.forwarded_lines, 0
         for name, value in pairs:
-            low, value = name.lower(), value.strip(b" \t")
-            if low not in fields:
-                fields[low] = value
-            elif low in ONCE:
-                self.twice = True
-            if low not in NOT_PASSED_ON:
-                lines.append(b"%b: %b\r\n" % (name, value))
-                if low in LOOK_ALIKE:
-                    self.look_alike = True
-            elif low == LENGTH:
-                self.lengths += (value,)
-            elif low == ENCODING:
-                self.encodings += (value,)
-            elif low == CONNECTION:
-                self.hop += tuple({t.strip().lower() for t in value.split(b",")} - OF_CONNECTION)
+            lower_name, value = name.lower(), value.strip(b" \t")
+            if lower_name not in fields:
+                fields[lower_name] = value
+            elif lower_name in SINGLE_VALUED:
+                self.has_duplicates = True
+            if lower_name not in NOT_FORWARDED:
+                forwarded_lines.append(b"%b: %b\r\n" % (name, value))
+                if lower_name in LOOK_ALIKE:
+                    self.has_look_alike = True
+            elif lower_name == CONTENT_LENGTH:
+                self.content_lengths += (value,)
+            elif lower_name == TRANSFER_ENCODING:
+                self.transfer_encodings += (value,)
+            elif lower_name == CONNECTION:
+                self.hop_by_hop += tuple({t.strip().lower() for t in value.split(b",")} - NOT_HOP_BY_HOP)
             size += len(name) + len(value) + 4
         self.size = size
 
-    def framing(self) -> int | None:
+    def body_length(self) -> int | None:
         """The body's length as told; None: it comes in chunks; -1: nothing is told.
 
         Raises Faulty where another reader could see another length (RFC 9112, 6.3).
         """
-        if self.look_alike:
-            raise Faulty("a length under a name with an underscore")
-        if self.encodings:
-            if self.lengths or [e.lower() for e in self.encodings] != [b"chunked"]:
-                raise Faulty("the body's length must be told once, by a number or as chunked")
+        if self.has_look_alike:
+            raise HeaderError("a length under a name with an underscore")
+        if self.transfer_encodings:
+            if self.content_lengths or [e.lower() for e in self.transfer_encodings] != [b"chunked"]:
+                raise HeaderError("the body's length must be told once, by a number or as chunked")
             return None
-        if not self.lengths:
+        if not self.content_lengths:
             return -1
-        if len(self.lengths) > 1 or not self.lengths[0].isdigit() or len(self.lengths[0]) > 18:
-            raise Faulty("the body's length must be told once, in digits")
-        return int(self.lengths[0])
-
-    def passed_on(self) -> bytes:
+        if (
+            len(self.content_lengths) > 1
+            or not self.content_lengths[0].isdigit()
+            or len(self.content_lengths[0]) > 18
+        ):
+            raise HeaderError("the body's length must be told once, in digits")
+        return int(self.content_lengths[0])
+
+    def forwarded(self) -> bytes:
         """The lines that concern the far end, without those that Connection names.
 
         Raises Faulty if a value holds a line end or a zero: it would be another header at the next reader.
         """
-        lines = self.lines
-        if self.hop:
-            names = tuple(name + b":" for name in self.hop)
-            lines = [line for line in lines if not line.lower().startswith(names)]
-        block = b"".join(lines)
-        if block.count(b"\n") != len(lines) or block.count(b"\r") != len(lines) or b"\0" in block:
-            raise Faulty("a header's value has a line end or a zero in it")
+        forwarded_lines = self.forwarded_lines
+        if self.hop_by_hop:
+            names = tuple(name + b":" for name in self.hop_by_hop)
+            forwarded_lines = [line for line in forwarded_lines if not line.lower().startswith(names)]
+        block = b"".join(forwarded_lines)
+        if (
+            block.count(b"\n") != len(forwarded_lines)
+            or block.count(b"\r") != len(forwarded_lines)
+            or b"\0" in block
+        ):
+            raise HeaderError("a header's value has a line end or a zero in it")
         return block
 
 
-def name_values(text: str) -> dict[str, str]:
+def parse_name_values(text: str) -> dict[str, str]:
     """`name=value,name=value`"""
     return {k.strip(): v.strip() for k, sep, v in (part.partition("=") for part in text.split(",")) if sep}
 
@@ -124,19 +149,19 @@
     """Reads load reports, whose fields go by the settings' names or by the module's."""
 
     def __init__(self, fields: Iterable[str]) -> None:
-        other = {module: wire for wire, module in FIELDS.items()}
-        self._names = [(f, other.get(f, f)) for f in fields]
+        wire_names = {module: wire for wire, module in FIELDS.items()}
+        self._names = [(f, wire_names.get(f, f)) for f in fields]
         # The same report stands in the answers of a stretch of time, and few differ.
-        self._read_again = lru_cache(REPORTS_KEPT)(self._read)
+        self._read_cached = lru_cache(MAX_CACHED_REPORTS)(self._read)
 
     def read(self, text: bytes | None) -> tuple[float, ...]:
         """The values in the settings' order; none where one is missing or is no number."""
         if not text or not self._names:
             return ()
-        return self._read_again(text) if len(text) <= REPORT_MOST else self._read(text)
+        return self._read_cached(text) if len(text) <= MAX_CACHED_REPORT_BYTES else self._read(text)
 
     def _read(self, text: bytes) -> tuple[float, ...]:
-        values = name_values(text.decode("latin-1"))
+        values = parse_name_values(text.decode("latin-1"))
         try:
             report = tuple(float(values[a] if a in values else values[b]) for a, b in self._names)
         except (KeyError, ValueError):
--- a/roadlb/net/http.py
+++ b/roadlb/net/http.py
@@ -6,11 +6,11 @@
 
 from ..exchange import Answer, Refusal, Response
 
-HOLD = 65_536  # of a body, before it flows
-HOLD_TIGHT = 4_096  # and where memory is short
-BODY_MOST = 32 << 20
-HEAD_MOST = 16_384
-INTERIM_MOST = 8  # 1xx answers in front of the final one
+BODY_BUFFER_BYTES = 65_536  # of a body, before it flows
+SMALL_BODY_BUFFER_BYTES = 4_096  # and where memory is short
+MAX_BODY_BYTES = 32 << 20
+MAX_HEAD_BYTES = 16_384
+MAX_INTERIM_RESPONSES = 8  # 1xx answers in front of the final one
 
 LAST_CHUNK = b"0\r\n\r\n"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -19,9 +19,9 @@
 _EMPTY = {s: _STATUS[s] + b"Content-Length: 0\r\n" for s in (200, 503)}
 
 
-def answered(answer: Answer, last: bool) -> bytes:
+def encode_answer(answer: Answer, is_last: bool) -> bytes:
     """A final answer's bytes; `last`: its connection ends with it."""
-    close = _CLOSE if last else b""
+    close = _CLOSE if is_last else b""
     if isinstance(answer, Response):
         return b"%b%b%bContent-Length: %d\r\n\r\n%b" % (
             _STATUS[200],
@@ -35,37 +35,41 @@
         if answer.retry_after_us > 0:
             advice = b"Retry-After: %.3f\r\n" % (answer.retry_after_us / 1e6)
         return b"%b%b%b\r\n" % (_EMPTY[503], advice, close)
-    return plain(502, answer.reason, last)
+    return text_answer(502, answer.reason, is_last)
 
 
-def began(answer: Response, last: bool, chunked: bool) -> bytes:
+def encode_head(answer: Response, is_last: bool, chunked: bool) -> bytes:
     """The head of an answer whose body flows; `chunked`: with no length, else with the flow's, or neither."""
     size = answer.body_stream.size if answer.body_stream else -1
     framing = b"Transfer-Encoding: chunked\r\n" if chunked else b""
     if size >= 0:
         framing = b"Content-Length: %d\r\n" % size
-    return b"%b%b%b%b\r\n" % (_STATUS[200], answer.head, _CLOSE if last else b"", framing)
+    return b"%b%b%b%b\r\n" % (_STATUS[200], answer.head, _CLOSE if is_last else b"", framing)
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def plain(
-    status: int, text: str, last: bool, more: bytes = b"", kind: bytes = b"text/plain; charset=utf-8"
+def text_answer(
+    status: int,
+    text: str,
+    is_last: bool,
+    extra_headers: bytes = b"",
+    content_type: bytes = b"text/plain; charset=utf-8",
 ) -> bytes:
     """An answer of our own with a line of text for a person; `more`: further header lines."""
     body = text.encode() + b"\n"
     return b"%bContent-Type: %b\r\n%b%bContent-Length: %d\r\n\r\n%b" % (
         _STATUS[status],
-        kind,
-        more,
-        _CLOSE if last else b"",
+        content_type,
+        extra_headers,
+        _CLOSE if is_last else b"",
         len(body),
         body,
     )
 
 
-def empty(status: int, last: bool) -> bytes:
+def empty_answer(status: int, is_last: bool) -> bytes:
     """An answer of our own without a body: status 200 or 503."""
-    return b"%b%b\r\n" % (_EMPTY[status], _CLOSE if last else b"")
+    return b"%b%b\r\n" % (_EMPTY[status], _CLOSE if is_last else b"")
--- a/roadlb/net/pool.py
+++ b/roadlb/net/pool.py
@@ -18,7 +18,7 @@
 from ..policy.interface import ServerId
 from ..wheel import TimerWheel
 from .headers import LoadReports
-from .http import HOLD
+from .http import BODY_BUFFER_BYTES
 from .server_connection import Call, ServerConnection
 
 SWEEP_S = 0.25
@@ -46,7 +46,7 @@
         self._all_idle: dict[ServerConnection, None] = {}
         self._resting: list[ServerConnection] = []
         self._sweeping = False
-        self.hold = HOLD  # bytes of an answer before it flows
+        self.hold = BODY_BUFFER_BYTES  # bytes of an answer before it flows
 
     def limit(self, connections: int) -> None:
         """So many connections there may be from now on; what is too much goes as it idles."""
--- a/roadlb/net/server_connection.py
+++ b/roadlb/net/server_connection.py
@@ -28,10 +28,17 @@
 from ..body_stream import BodyStream
 from ..policy.interface import ServerId
 from ..wheel import Timer
-from .headers import LOAD, UNPROCESSED, Faulty, Headers
-from .http import BODY_MOST, HEAD_MOST, HOLD, INTERIM_MOST, LAST_CHUNK, chunk
+from .headers import LOAD, UNPROCESSED, HeaderError, Headers
+from .http import (
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    BODY_BUFFER_BYTES,
+    MAX_INTERIM_RESPONSES,
+    LAST_CHUNK,
+    encode_chunk,
+)
 from .server_request import request_bytes
-from .sockets import bound, end_sending, news
+from .sockets import limit_socket_buffers, end_sending, new_poll
 
 if TYPE_CHECKING:
     from .pool import Pool
@@ -182,7 +189,7 @@
         came before the request would be taken for its answer.
         """
         if self._news is None and self.transport:
-            self._news = news(self.transport)
+            self._news = new_poll(self.transport)
         return self._news is None or not self._news.poll(0)
 
     def send(self, call: Call) -> None:
@@ -207,7 +214,7 @@
                 self._end(Result(AttemptOutcome.BROKE_UNSENT), "closed by the instance", keep=False)
             elif call.body_stream is not None:
                 self._upload = call.body_stream
-                bound(self.transport)
+                limit_socket_buffers(self.transport)
                 call.body_stream.attach(self)
                 call.body_stream.set_reading(not self._unwritten)
             elif not self._unwritten:
@@ -223,7 +230,7 @@
 
     def body_data(self, data: bytes) -> None:
         if self._upload is not None and self.transport:
-            self._put(chunk(data) if self._upload.size < 0 else data)
+            self._put(encode_chunk(data) if self._upload.size < 0 else data)
 
     def body_end(self, whole: bool) -> None:
         upload, self._upload = self._upload, None
@@ -303,7 +310,7 @@
         if (
             self._head_whole
             and self._length < 0
-            and not self._headers.encodings
+            and not self._headers.transfer_encodings
             and not self._final
             and (self._call is not None or self._body_stream is not None)
         ):
@@ -341,12 +348,12 @@
             return  # the final answer may still take its time
         if not self._head_whole:
             self._size += len(data)  # blanks included; a whole head is measured without
-            if self._size > HEAD_MOST:
+            if self._size > MAX_HEAD_BYTES:
                 self._spoilt = self._spoilt or "too long"
         elif self._final and not self._extra:
             # The parser passes over line ends in front of a next answer, which there must not be.  What has
             # no body, or a chunked one, ends with two of them, cut up as it may be.
-            body = self._last if not self._headers.encodings else b""
+            body = self._last if not self._headers.transfer_encodings else b""
             tail = (self._tail + data[-5:])[-5:]
             self._extra = not data.endswith(body) if body else not tail.strip(b"\r\n")
         if self._spoilt:
@@ -375,8 +382,8 @@
     def _begin_flow(self, call: Call) -> None:
         """The answer is too long to hold: its call has ended well, and its body goes on as it comes."""
         try:
-            head = self._headers.passed_on()
-        except Faulty as e:
+            head = self._headers.forwarded()
+        except HeaderError as e:
             self._end(Result(AttemptOutcome.GARBLED), str(e), keep=False)
             return
         if self._upload is not None:
@@ -385,7 +392,7 @@
             return
         held, self._body, self._call = self._body, [], None
         body_stream = self._body_stream = BodyStream(self._length, self)
-        bound(self.transport)
+        limit_socket_buffers(self.transport)
         report = self._pool.reports.read(self._headers.fields.get(LOAD))
         call.ended(Result(AttemptOutcome.SERVED, report, Response(b"", head, body_stream)), "")
         if not body_stream.is_attached:
@@ -406,7 +413,7 @@
             return
         # A trailer, of which nothing is passed on; it counts as body, for the bound.
         self._size += len(name) + len(value) + 4
-        if self._size > BODY_MOST + HEAD_MOST:
+        if self._size > MAX_BODY_BYTES + MAX_HEAD_BYTES:
             self._spoilt = self._spoilt or "too long"
 
     def on_headers_complete(self) -> None:
@@ -415,28 +422,28 @@
         status = self._parser.get_status_code()
         headers = self._headers = Headers(self._pairs)
         version = self._parser.get_http_version()
-        if headers.size > HEAD_MOST:
+        if headers.size > MAX_HEAD_BYTES:
             self._spoilt = "too long"
-        elif version != "1.1" and (version != "1.0" or headers.encodings):
+        elif version != "1.1" and (version != "1.0" or headers.transfer_encodings):
             self._spoilt = "version"
         elif 100 <= status < 200:
-            if status == 101 or self._interim >= INTERIM_MOST:
+            if status == 101 or self._interim >= MAX_INTERIM_RESPONSES:
                 self._spoilt = "1xx"
             return
         self._head_whole, self._status, self._size = True, status, 0
         if self._spoilt or status in (204, 304):  # these have no body
             return
         try:
-            length = headers.framing()
-        except Faulty as e:
+            length = headers.body_length()
+        except HeaderError as e:
             self._spoilt = str(e)
             return
         self._length = -1 if length is None else length
         if status < 100:
             self._spoilt = "status"
-        elif self._length > BODY_MOST:
+        elif self._length > MAX_BODY_BYTES:
             self._spoilt = "too long"
-        elif status != 200 and (self._length > HOLD or length == -1):
+        elif status != 200 and (self._length > BODY_BUFFER_BYTES or length == -1):
             self._whole()  # nobody needs the body of what was not served
 
     def on_body(self, body: bytes) -> None:
@@ -444,7 +451,7 @@
             return
         self._size += len(body)
         self._last = body
-        if self._size > BODY_MOST:
+        if self._size > MAX_BODY_BYTES:
             self._spoilt = "too long"
         elif self._call is None:
             if self._body_stream is not None:
@@ -460,7 +467,7 @@
             self._between = True
             self._quiet()
             return
-        if self._length < 0 and not self._headers.encodings and self._status not in (204, 304):
+        if self._length < 0 and not self._headers.transfer_encodings and self._status not in (204, 304):
             self._spoilt = "length"  # the parser has read one that `Headers` does not take for one
             return
         self._whole()
@@ -471,7 +478,7 @@
         self._final = True
         try:
             self._answer = self._judge()
-        except Faulty as e:
+        except HeaderError as e:
             self._spoilt = str(e)
 
     def _judge(self) -> Result:
@@ -479,7 +486,7 @@
         report = self._pool.reports.read(fields.get(LOAD))
         if self._status == 200:
             return Result(
-                AttemptOutcome.SERVED, report, Response(b"".join(self._body), self._headers.passed_on())
+                AttemptOutcome.SERVED, report, Response(b"".join(self._body), self._headers.forwarded())
             )
         if self._status in (503, 504) and fields.get(UNPROCESSED) == b"1":
             return Result(AttemptOutcome.TURNED_AWAY, report)
--- a/roadlb/net/server_request.py
+++ b/roadlb/net/server_request.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..exchange import Message
-from .http import chunk
+from .http import encode_chunk
 
 US_PER_MS = 1_000
 
@@ -20,7 +20,7 @@
     body_stream, body, length = message.body_stream, message.body, b""
     if body_stream is not None and body_stream.size < 0:
         length = b"Transfer-Encoding: chunked\r\n"
-        body = chunk(body)
+        body = encode_chunk(body)
     elif message.method != b"GET":  # which has no body here; of any other an empty one is told
         length = b"Content-Length: %d\r\n" % (body_stream.size if body_stream is not None else len(body))
     return b"%b %b HTTP/1.1\r\n%bX-Time-Left: %d.%03d\r\n%b\r\n%b" % (
--- a/roadlb/net/status_page.py
+++ b/roadlb/net/status_page.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from .http import plain
+from .http import text_answer
 
-HEAD_MOST = 8_192
-HEAD_S = 5.0  # who has not asked by then is let go
-ANSWERED_MOST = 20  # at once: a page of 10,000 subscribers is some MB
+MAX_HEAD_BYTES = 8_192
+REQUEST_TIMEOUT_S = 5.0  # who has not asked by then is let go
+MAX_OPEN_REQUESTS = 20  # at once: a page of 10,000 subscribers is some MB
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,10 +21,10 @@
     status: int
     content: object
 
-    def written(self) -> bytes:
+    def encode(self) -> bytes:
         if isinstance(self.content, str):
-            return plain(self.status, self.content, True)
-        return plain(
+            return text_answer(self.status, self.content, True)
+        return text_answer(
             self.status,
             json.dumps(self.content, indent=1),
             True,
@@ -37,24 +37,24 @@
     """Serves pages by their path; each is made when it is asked for.  `port`: where."""
 
     def __init__(self, pages: Mapping[str, Callable[[], Page]]) -> None:
-        self._pages, self._open, self.port = pages, 0, 0
+        self._pages, self._open_count, self.port = pages, 0, 0
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> None:
-        self._server = await asyncio.start_server(self._serve, host, port, limit=HEAD_MOST)
+        self._server = await asyncio.start_server(self._serve, host, port, limit=MAX_HEAD_BYTES)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._open += 1
+        self._open_count += 1
         try:
-            async with asyncio.timeout(HEAD_S):
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 head = await reader.readuntil(b"\r\n\r\n")
-                writer.write(self._answer(head).written())
+                writer.write(self._answer(head).encode())
                 await writer.drain()
         except (TimeoutError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, OSError):
             writer.transport.abort()  # nobody waits for an answer
         finally:
-            self._open -= 1
+            self._open_count -= 1
             writer.close()
 
     def _answer(self, head: bytes) -> Page:
@@ -64,7 +64,7 @@
         page = self._pages.get(words[1].partition("?")[0])
         if page is None:
             return Page(404, f"there is nothing here but {', '.join(self._pages)}")
-        return page() if self._open <= ANSWERED_MOST else Page(503, "too many ask at once")
+        return page() if self._open_count <= MAX_OPEN_REQUESTS else Page(503, "too many ask at once")
 
     async def stop(self) -> None:
         if self._server is not None:
--- a/roadlb/wiring/standard.py
+++ b/roadlb/wiring/standard.py
@@ -63,7 +63,7 @@
     """The clients' side, and what tells it how much this program can take."""
 
     def __init__(self, app: App) -> None:
-        super().__init__(lambda: app.frontend.sweep_for_ever())
+        super().__init__(lambda: app.frontend.run_sweeps())
         self._app = app
 
     async def start(self) -> None:
@@ -87,7 +87,7 @@
             app.wheel,
             app.own_load.came_us,
         )
-        app.frontend.deadlines(app.settings)  # a store's version holds by now
+        app.frontend.set_deadlines(app.settings)  # a store's version holds by now
         await super().start()
 
     async def stop(self) -> None:
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_door.py
@@ -102,7 +102,7 @@
         port, door, said = held.getsockname()[1], Door({}, Counters()), asyncio.Event()
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(sockets.logger, "warning", lambda *told, **more: said.set())
-            listening = asyncio.create_task(door.listen(Address("127.0.0.1", port), sockets.listening))
+            listening = asyncio.create_task(door.listen(Address("127.0.0.1", port), sockets.listening_socket))
             await said.wait()
             held.close()
             await listening
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -30,9 +30,9 @@
     Response,
 )
 from roadlb.log import KeyValueFormatter, fields
-from roadlb.net.headers import Faulty, Headers, LoadReports
+from roadlb.net.headers import HeaderError, Headers, LoadReports
 from roadlb.net.discovery import MalformedList, ServerDiscovery, server_id
-from roadlb.net.frontend import key_number
+from roadlb.net.frontend import hash_key
 from roadlb.policy.interface import (
     NEVER_RAN,
     Action,
@@ -410,7 +410,7 @@
     ]
     assert table().parse(raw[0]).members == table().parse(raw[1]).members
     # Known values: another process, or another version, must come to the same.
-    assert (server_id("s-1").hex(), key_number(b"k"), key_number(b"")) == (
+    assert (server_id("s-1").hex(), hash_key(b"k"), hash_key(b"")) == (
         "03231059c9d4de0d",
         7193521810918036140,
         0,
@@ -485,13 +485,13 @@
             (b"X-Time-Left", b"1"),
         ]
     )
-    assert headers.passed_on() == b"Accept: a\r\nX-Hopper: stays\r\n"
+    assert headers.forwarded() == b"Accept: a\r\nX-Hopper: stays\r\n"
 
 
 @pytest.mark.parametrize("value", [b"a\r\nX: y", b"a\n b", b"a\rb", b"a\0b"])
 def test_a_value_that_would_be_two_lines_is_not_passed_on(value: bytes) -> None:
-    with pytest.raises(Faulty):
-        Headers([(b"Accept", value)]).passed_on()
+    with pytest.raises(HeaderError):
+        Headers([(b"Accept", value)]).forwarded()
 
 
 def test_the_wheel_calls_in_order_never_early_and_not_what_was_cancelled() -> None:
--- a/tests/lifecycle/test_leaving.py
+++ b/tests/lifecycle/test_leaving.py
@@ -108,13 +108,13 @@
 
 
 def test_what_is_read_after_the_last_moment_is_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "REQUEST_S", 3_600.0)  # it is held back for as long as it takes
+    monkeypatch.setattr(frontend, "REQUEST_TIMEOUT_S", 3_600.0)  # it is held back for as long as it takes
 
     async def what(stage: Stage) -> None:
         app = stage.app
         client = called(stage)
         client.send(request(1, "/order/k", "POST", "half")[:-2])
-        await reached(lambda: any(c.started_us for c in app.frontend.connections))
+        await reached(lambda: any(c.request_started_us for c in app.frontend.connections))
         over, finish = asyncio.Event(), app.engine.give_up_all
         app.engine.give_up_all = lambda after: (finish(after), over.set())  # type: ignore[method-assign,assignment]
         app.lifecycle.longest_us = 0
@@ -139,9 +139,9 @@
         client.send(request(1))
         await stage.step("i1 expect GET")
         await stage.step(f"i1 send raw HTTP/1.1 200 OK\\r\\nContent-Length: {size}\\r\\n\\r\\nBODY={size}")
-        await reached(lambda: any(c.stuck_us for c in app.frontend.connections))
+        await reached(lambda: any(c.write_blocked_since_us for c in app.frontend.connections))
         app.lifecycle.longest_us = 0
-        none_left, calls = app.frontend._none_left, 0
+        none_left, calls = app.frontend._wait_none_left, 0
 
         async def second(until_us: int) -> None:
             nonlocal calls
@@ -150,7 +150,7 @@
                 waits.set()  # the time for all others is over
             await none_left(until_us)
 
-        app.frontend._none_left = second  # type: ignore[method-assign]
+        app.frontend._wait_none_left = second  # type: ignore[method-assign]
         stopping = asyncio.create_task(app.stop(linger_s=0))
         await waits.wait()
         got = await answer(client)
--- a/tests/lifecycle/test_upgrade.py
+++ b/tests/lifecycle/test_upgrade.py
@@ -21,7 +21,7 @@
 from roadlb.lifecycle import handover
 from roadlb.lifecycle.handover import Handover, Held, Neighbours
 from roadlb.lifecycle.succession import Succession
-from roadlb.net.sockets import inherited
+from roadlb.net.sockets import inherited_socket
 
 ROOT = Path(__file__).parents[2]
 LIMIT_S = 30.0
@@ -250,6 +250,6 @@
     with socket.socket() as idle, socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as datagrams:
         for fd in (idle.fileno(), datagrams.fileno()):
             with pytest.raises(ConfigError, match=f"PROXY_SOCKET_FD: descriptor {fd}"):
-                inherited(fd)
+                inherited_socket(fd)
     with pytest.raises(ConfigError, match="descriptor 9999 is no socket"):
-        inherited(9999)
+        inherited_socket(9999)
--- a/tests/net/test_client_closing.py
+++ b/tests/net/test_client_closing.py
@@ -19,7 +19,9 @@
 
 ASKED = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 CLOSE = "Connection: close"
-BEHIND = client_connection.DISCARDED_MOST // 2  # bytes behind what is faulty, all of which are thrown away
+BEHIND = (
+    client_connection.MAX_DISCARDED_BYTES // 2
+)  # bytes behind what is faulty, all of which are thrown away
 
 
 class Plain:
@@ -74,7 +76,7 @@
 async def asked(stage: Stage, plain: Plain) -> None:
     """Have the connection carry a request, which is answered."""
     plain.send(ASKED)
-    await until(lambda: only(stage).asked)
+    await until(lambda: only(stage).has_sent_request)
 
 
 @pytest.mark.parametrize("loop", LOOPS)
@@ -85,9 +87,9 @@
         stage.app.tell(Event.OUT_OF_SERVICE)
         await step(stage, "i1 send 200 done")
         connection = only(stage)
-        await until(lambda: connection.closing_us)
+        await until(lambda: connection.closing_since_us)
         plain.send(order(2) + order(3))
-        await until(lambda: connection._discarded)
+        await until(lambda: connection._discarded_bytes)
         got = await plain.rest()
         assert got.count("HTTP/1.1") == 1 and CLOSE in got and got.endswith("done")
         await until(lambda: not stage.app.frontend.connections)
@@ -111,7 +113,7 @@
         # plain close would be a reset.
         connection = only(stage)
         plain.fill(sent + "x" * BEHIND)
-        await until(lambda: connection.closing_us)
+        await until(lambda: connection.closing_since_us)
         await plain.go_on(100_000)
         got = await plain.rest()
         assert got.startswith(f"HTTP/1.1 {status}") and CLOSE in got
@@ -125,7 +127,7 @@
     async def main(stage: Stage, plain: Plain) -> None:
         connection = only(stage)
         plain.send("nonsense\r\n\r\n")
-        await until(lambda: connection.closing_us)
+        await until(lambda: connection.closing_since_us)
         plain.socket.setblocking(False)
         async with asyncio.timeout(LIMIT_S):
             while connection.transport is not None:
@@ -137,7 +139,7 @@
                     break
                 await asyncio.sleep(0)
         await until(lambda: not stage.app.frontend.connections)
-        assert connection._discarded <= client_connection.DISCARDED_MOST + (
+        assert connection._discarded_bytes <= client_connection.MAX_DISCARDED_BYTES + (
             1 << 19
         )  # and two reads of the loop
 
@@ -187,8 +189,8 @@
 
 def crowds(stage: Stage) -> None:
     client = stage.app.frontend
-    client.limit(0)
-    client.connected(client_connection.ClientConnection(client))
+    client.set_max_connections(0)
+    client.on_connected(client_connection.ClientConnection(client))
 
 
 @pytest.mark.parametrize("loop", LOOPS)
@@ -198,9 +200,9 @@
 ) -> None:
     async def main(stage: Stage, plain: Plain) -> None:
         await asked(stage, plain)
-        monkeypatch.setattr(frontend, "IDLE_S", -1.0)
-        monkeypatch.setattr(frontend, "SPARE_IDLE_S", -1.0)
-        monkeypatch.setattr(frontend, "FEW", 2)
+        monkeypatch.setattr(frontend, "IDLE_TIMEOUT_S", -1.0)
+        monkeypatch.setattr(frontend, "SHORT_IDLE_TIMEOUT_S", -1.0)
+        monkeypatch.setattr(frontend, "HIGH_USE_RATIO", 2)
         plain.send(order(1))
         closes(stage)
         monkeypatch.undo()
@@ -226,7 +228,7 @@
     async def main(stage: Stage, plain: Plain) -> None:
         text = order(1)
         plain.send(text[:-2])
-        await until(lambda: only(stage).started_us)
+        await until(lambda: only(stage).request_started_us)
         plain.send(text[-2:])
         stage.app.frontend.close_unfinished()
         await step(stage, "i1 expect POST")
@@ -261,8 +263,8 @@
     async def main(stage: Stage, plain: Plain) -> None:
         connection = only(stage)
         plain.send("nonsense\r\n\r\n")
-        await until(lambda: connection.lingers)
-        stage.app.frontend.limit(1)
+        await until(lambda: connection.is_lingering)
+        stage.app.frontend.set_max_connections(1)
         other = Plain(stage)
         await until(lambda: connection not in stage.app.frontend.connections)
         assert stage.app.counters["client.crowded"] == 0
--- a/tests/net/test_client_flood.py
+++ b/tests/net/test_client_flood.py
@@ -79,7 +79,7 @@
     async def main() -> None:
         stage = await begun("1")
         flood = Plain(stage)
-        flood.fill("nonsense\r\n\r\n" + "x" * (client_connection.DISCARDED_MOST * 2))
+        flood.fill("nonsense\r\n\r\n" + "x" * (client_connection.MAX_DISCARDED_BYTES * 2))
         sending = asyncio.ensure_future(flood.go_on(1 << 30))
         link = await client(stage, "a", READ)
         await step(stage, "i1 expect GET")
--- a/tests/net/test_client_leaves.py
+++ b/tests/net/test_client_leaves.py
@@ -14,7 +14,7 @@
 import pytest
 from scenario import LIMIT_S, LOOPS, Link, Stage, run
 
-from roadlb.net.client_connection import HELD_MOST, ClientConnection
+from roadlb.net.client_connection import MAX_UNPARSED_BYTES, ClientConnection
 
 ORDER = (
     "POST /order/k HTTP/1.1\r\nHost: x\r\nX-Account: acme\r\nX-Correlation-Id: {id}\r\n"
@@ -22,7 +22,7 @@
 )
 READ = "GET /grid-read/k HTTP/1.1\r\nHost: x\r\nX-Account: acme\r\nX-Correlation-Id: 1\r\n\r\n"
 KEYS = 20
-MUCH = HELD_MOST + 1  # bytes behind an open request with which reading stops
+MUCH = MAX_UNPARSED_BYTES + 1  # bytes behind an open request with which reading stops
 LEAVING = ["end", "reset", "half-close"]
 
 
@@ -88,7 +88,7 @@
         link = await client(stage, "a", order(1))
         await step(stage, "i1 expect POST")
         link.write("x" * MUCH)
-        await until(lambda: only(stage).reading_paused)
+        await until(lambda: only(stage).is_reading_paused)
         leave(link, how)
         await step(stage, "i1 expect closed")
         assert stage.app.counters["client_gone"] == 1 and stage.app.counters["errored.order"] == 0
@@ -105,7 +105,7 @@
         link = await client(stage, "a", order(1) + order(2) + order(3))
         await step(stage, "i1 expect POST")
         link.write(order(4) + "x" * MUCH)
-        await until(lambda: only(stage).reading_paused)
+        await until(lambda: only(stage).is_reading_paused)
         leave(link, how)
         await step(stage, "i1 expect closed")
         await until(lambda: not stage.app.frontend.connections)
@@ -124,7 +124,7 @@
         plain.sendall((order(1) + order(2)).encode())
         await step(stage, "i1 expect POST")
         plain.sendall(b"x" * MUCH)
-        await until(lambda: only(stage).reading_paused)
+        await until(lambda: only(stage).is_reading_paused)
         exchange = only(stage).exchange
         assert exchange is not None
         plain.close()
@@ -143,7 +143,7 @@
         stage = await begun("1")
         link = await client(stage, "a", order(1) + "nonsense\r\n\r\n")
         await step(stage, "i1 expect POST")
-        assert only(stage).deaf
+        assert only(stage).ignores_input
         leave(link, how)
         await step(stage, "i1 expect closed")
         assert stage.app.counters["client_gone"] == 1 and stage.app.counters["errored.order"] == 0
@@ -162,7 +162,7 @@
         await until(lambda: stage.app.counters["execution"])
         if paused:
             link.write("x" * MUCH)
-            await until(lambda: only(stage).reading_paused)
+            await until(lambda: only(stage).is_reading_paused)
         leave(link, how)
         await until(lambda: stage.app.counters["client_gone"])
         assert stage.app.counters["execution.cancelled"] == 1 and stage.app.counters["execution"] == 1
@@ -178,7 +178,7 @@
         stage = await begun("0 0 1")
         link = await client(stage, "a", order(1, 200_000) + "x" * 100_000)
         await until(lambda: stage.app.counters["execution"])
-        assert only(stage).uploading
+        assert only(stage).is_uploading
         leave(link, how)
         await until(lambda: stage.app.counters["client_gone"])
         assert stage.app.counters["execution"] == 1
@@ -197,7 +197,7 @@
         link.reader._transport.pause_reading()  # type: ignore[attr-defined]
         await step(stage, "i1 expect POST")
         stage.links["i1"].write(f"HTTP/1.1 200 OK\r\nContent-Length: {1 << 25}\r\n\r\n" + "x" * (1 << 24))
-        await until(lambda: only(stage).stuck_us)
+        await until(lambda: only(stage).write_blocked_since_us)
         leave(link, how)
         await until(lambda: stage.app.counters["client_gone"])
         assert stage.app.counters["taken"] == 1
--- a/tests/net/test_client_line.py
+++ b/tests/net/test_client_line.py
@@ -38,9 +38,9 @@
     await step(stage, "i1 expect POST")
     if place == "held":
         link.write(behind)
-        await until(lambda: only(stage)._held)
+        await until(lambda: only(stage)._unparsed)
     else:
-        assert only(stage)._waiting
+        assert only(stage)._pending
 
 
 @pytest.mark.parametrize("loop", LOOPS)
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -457,7 +457,7 @@
 @given(st.binary(max_size=20))
 def test_a_target_that_would_end_its_request_line_is_not_passed_on(rest: bytes) -> None:
     target = b"/" + rest
-    if frontend.passable(target):
+    if frontend.is_forwardable(target):
         assert (b"GET %b HTTP/1.1" % target).decode("ascii").split() == ["GET", target.decode(), "HTTP/1.1"]
 
 
@@ -475,15 +475,15 @@
     monkeypatch: pytest.MonkeyPatch, before: str, start: str
 ) -> None:
     # Such a connection lasted 75 s, and a few hundred of them took all descriptors.
-    monkeypatch.setattr(frontend, "REQUEST_S", 0.2)
-    monkeypatch.setattr(frontend, "IDLE_S", 0.2)
+    monkeypatch.setattr(frontend, "REQUEST_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(frontend, "IDLE_TIMEOUT_S", 0.2)
     answered = "a expect 408 close" if start else ""
     run(play(f"{before}\na send raw {start}\n{answered}\na expect closed"))
 
 
 def test_the_longest_idle_connection_makes_room_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
     # Clients that connect anew for each request and stay: new ones were closed instead, with their requests.
-    monkeypatch.setattr(frontend, "FEW", 2)
+    monkeypatch.setattr(frontend, "HIGH_USE_RATIO", 2)
     run(
         play("""
         grid 1 client_sockets=2
@@ -501,7 +501,7 @@
 
 def test_idle_connections_are_not_kept_where_they_are_not_plentiful(monkeypatch: pytest.MonkeyPatch) -> None:
     # Clients that asked once held their connections for good, and others had none left (churn on the bench).
-    monkeypatch.setattr(frontend, "SPARE_IDLE_S", 0.05)
+    monkeypatch.setattr(frontend, "SHORT_IDLE_TIMEOUT_S", 0.05)
     run(
         play("""
         grid 1 client_sockets=5
@@ -529,19 +529,19 @@
 def test_ids_are_forgotten() -> None:
     stage = run(play("a send POST /order/k\ni1 expect POST\ni1 send 200\na expect 200"))
     client = stage.app.frontend
-    ((_, id),) = client._answered
-    assert client._ids == {id}
-    client._answered[0] = (0, id)
+    ((_, id),) = client._expiring_ids
+    assert client._known_ids == {id}
+    client._expiring_ids[0] = (0, id)
     client.sweep()
-    assert not client._ids and not client._answered
+    assert not client._known_ids and not client._expiring_ids
 
 
 def test_faults_at_full_speed_do_not_fill_the_log(caplog: pytest.LogCaptureFixture) -> None:
-    steps = "a send GET /nothing\na expect 404\n" * 5 * frontend.REJECTS_LOGGED
+    steps = "a send GET /nothing\na expect 404\n" * 5 * frontend.MAX_LOGGED_REJECTS_PER_S
     stage = run(play(steps))
-    assert stage.app.counters["rejected.404"] == 5 * frontend.REJECTS_LOGGED
+    assert stage.app.counters["rejected.404"] == 5 * frontend.MAX_LOGGED_REJECTS_PER_S
     logged = sum(r.getMessage() == "request rejected" for r in caplog.records)
-    assert logged <= 4 * frontend.REJECTS_LOGGED
+    assert logged <= 4 * frontend.MAX_LOGGED_REJECTS_PER_S
 
 
 @pytest.mark.parametrize("steps", MORE.values(), ids=MORE)
--- a/tests/net/test_slow.py
+++ b/tests/net/test_slow.py
@@ -29,7 +29,7 @@
             wire.feed(get(id=id).encode())
         await settle(loop)
         assert len(answerer.started) == 1 and not wire.paused  # else its close would not be noticed
-        behind = 1 + client_connection.HELD_MOST // len(get(id=6).encode())
+        behind = 1 + client_connection.MAX_UNPARSED_BYTES // len(get(id=6).encode())
         for id in range(6, 6 + behind):
             wire.feed(get(id=id).encode())
         await settle(loop)
@@ -47,7 +47,7 @@
         wire.feed(get(id=1).encode())
         await settle(loop)
         wire.protocol.pause_writing()
-        for seconds, end in ((frontend.REQUEST_S, ""), (0.1, "aborted")):
+        for seconds, end in ((frontend.REQUEST_TIMEOUT_S, ""), (0.1, "aborted")):
             loop.now_us += int(seconds * 1e6)
             client.sweep()
             assert wire.end == end
@@ -70,6 +70,6 @@
         await settle(loop)
         assert len(answerer.started) == 1 and wire.paused
         left = wire.state[3]
-        assert isinstance(left, int) and left >= 100 - client_connection.HELD_MOST // 4_096 - 1
+        assert isinstance(left, int) and left >= 100 - client_connection.MAX_UNPARSED_BYTES // 4_096 - 1
 
     assert run(main)[1] == []
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -41,7 +41,7 @@
 from roadlb.app import App
 from roadlb.config import read_config
 from roadlb.lifecycle.lifecycle import Event
-from roadlb.net.sockets import listening
+from roadlb.net.sockets import listening_socket
 
 LIMIT_S = 10.0
 LOOPS = {"uvloop": uvloop.new_event_loop, "asyncio": asyncio.new_event_loop}
@@ -194,7 +194,7 @@
         }
         config = read_config(self.config, {})
         self.app = App(
-            replace(config, **{k: v for k, v in changed.items() if hasattr(config, k)}), bind=listening
+            replace(config, **{k: v for k, v in changed.items() if hasattr(config, k)}), bind=listening_socket
         )
         await self.app.start()
 
