--- a/roadlb/net/client_connection.py
+++ b/roadlb/net/client_connection.py
@@ -1,14 +1,14 @@
-"""One client's connection: bytes in, whole requests in turn, one answer out for each.
+"""A client's connection: parses its bytes into requests, serves them in order, writes one answer to each.
 
-What a request means is `frontend`'s matter.  Here is what HTTP/1.1 makes of the bytes, on httptools'
-parser, and when the connection reads, waits, and ends.
+This module does the HTTP/1.1 of a connection, with httptools' parser, and decides when the connection is
+read, paused and ended.  What a request means is decided in `frontend`.
 
-    head ──> body ──> waiting in line ──> open (at the engine) ──> answered ──> head ...
-     │        │                              │
-     └────────┴── faulty: answered in turn with a 4xx, then the connection ends
+    head ──> body ──> pending ──> open (in the engine) ──> answered ──> head ...
+     │        │                      │
+     └────────┴── in error: answered in its turn with a 4xx, then the connection ends
 
-A request whose body is too long to hold is open before that is whole: the connection is the body's source, as
-it is the sink of an answer that flows.
+A request whose body is too long to buffer is opened before its body is complete: the connection is then the
+source of the request's body stream.  It is likewise the sink of an answer that is streamed.
 """
 
 from __future__ import annotations
@@ -23,35 +23,30 @@
 from ..body_stream import BodyStream
 from .headers import EXPECT, HOST, HeaderError, Headers
 from .http import (
-    MAX_BODY_BYTES,
     CONTINUE,
-    MAX_HEAD_BYTES,
     LAST_CHUNK,
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
     encode_answer,
-    encode_head,
     encode_chunk,
+    encode_head,
 )
-from .sockets import limit_socket_buffers, is_peer_closed, has_unread_bytes
+from .sockets import has_unread_bytes, is_peer_closed, limit_socket_buffers
 
 if TYPE_CHECKING:
     from ..wheel import Timer
     from .frontend import Frontend
 
-PARSE_CHUNK_BYTES = 16_384  # bytes parsed before what is whole among them is served
-BODY_TIME_PER_BYTE_US = (
-    60  # a body's byte may take so long: 16 kB a second, where clients send 64 kB at the least
-)
-MAX_UNPARSED_BYTES = 65_536  # bytes kept that cannot be served yet; then reading stops
-MAX_DISCARDED_BYTES = (
-    1_048_576  # bytes thrown away once nothing more is read as a request; then reading stops
-)
-
+PARSE_CHUNK_BYTES = 16_384  # parsed at a time, before the complete requests among them are served
+BODY_TIME_PER_BYTE_US = 60  # 16 kB per second; clients send at least 64 kB per second
+MAX_UNPARSED_BYTES = 65_536  # buffered while an earlier request is open; beyond it reading is paused
+MAX_DISCARDED_BYTES = 1_048_576  # discarded once no further request is accepted; beyond it reading is paused
 
 NO_HEADERS = Headers()
 
 
 def origin_form(target: bytes) -> bytes:
-    """Path and query of a target in absolute form (RFC 9112, 3.2.2); any other as it is."""
+    """Return path and query of a target in absolute form (RFC 9112, 3.2.2); other targets unchanged."""
     scheme, _, rest = target.partition(b"://")
     authority, slash, path = rest.partition(b"/")
     if scheme.lower() != b"http" or not authority or b"?" in authority:
@@ -60,122 +55,124 @@
 
 
 class BadRequest(Exception):
-    """Input that is the client's fault; answered with a plain 4xx."""
+    """A fault of the request; answered with the status and a line of text."""
 
     def __init__(
         self, status: int, reason: str, closes_connection: bool = False, extra_headers: bytes = b""
     ) -> None:
         super().__init__(reason)
         self.status, self.reason, self.extra_headers = status, reason, extra_headers
-        self.closes_connection = closes_connection  # what may follow on its connection is no request
+        self.closes_connection = closes_connection  # what follows on it cannot be parsed as a request
 
 
 class Request:
-    """A request as it is read."""
+    """A request that is being read or waits to be served."""
 
     __slots__ = (
-        "body",
         "arrived_us",
-        "error",
+        "body",
+        "body_size",
         "body_stream",
-        "is_answered_early",
+        "content_length",
+        "error",
         "head_size",
-        "is_head_complete",
         "headers",
+        "is_admission_checked",
+        "is_answered_early",
+        "is_head_complete",
+        "is_http_1_1",
         "keep_alive",
-        "content_length",
         "method",
-        "is_http_1_1",
-        "is_admission_checked",
-        "body_size",
         "target",
         "trailer_size",
     )
 
     def __init__(self, arrived_us: int) -> None:
-        self.arrived_us = arrived_us  # when its last byte came; at first, when its first did
-        self.content_length = -1  # of its body, where it is told
-        self.body_stream: BodyStream | None = None  # the rest of its body, while that comes
-        self.is_http_1_1 = True  # it is HTTP/1.1
+        self.arrived_us = arrived_us  # when its last byte arrived; until it is complete, when its first did
+        self.content_length = -1  # of the body; -1: not known (chunked, or no body)
+        self.body_stream: BodyStream | None = None  # set if the body is streamed
+        self.is_http_1_1 = True
         self.method = self.target = b""
-        self.headers = NO_HEADERS  # till the head is whole
+        self.headers = NO_HEADERS  # until the head is complete
         self.body: list[bytes] = []
-        self.body_size = self.trailer_size = 0  # of the body and what is behind it, so far
-        self.head_size = 0  # by whole segments
+        self.body_size = self.trailer_size = 0  # bytes of the body and of its trailers, so far
+        self.head_size = 0  # bytes received up to now, counted in whole segments
         self.error: BadRequest | None = None
         self.is_head_complete = False
-        self.keep_alive = False  # may its connection go on after it?
-        self.is_admission_checked = False  # the module has been asked whether to read its body
-        self.is_answered_early = False  # answered already: what is left of it is skipped
+        self.keep_alive = False  # the connection may persist after the answer
+        self.is_admission_checked = False  # the policy has been asked whether to read the body
+        self.is_answered_early = False  # answered before its body was complete: the rest is skipped
 
 
 class ClientConnection:
-    """An asyncio.Protocol by its methods; times are microseconds of the program's clock.
+    """Implements the methods of asyncio.Protocol; times are microseconds of the program's clock.
 
-    Not by its base: a compiled class with a base that is not costs a quarter more of each request.
+    It does not derive from asyncio.Protocol: a compiled class with a base that is not compiled costs a
+    quarter more time for each request.
     """
 
     __slots__ = (
         "_arrived_us",
-        "_is_chunked",
-        "_frontend",
-        "_discarded_bytes",
         "_body_stream",
+        "_discarded_bytes",
+        "_frontend",
+        "_header_pairs",
         "_is_answer_complete",
-        "_unparsed",
-        "_unparsed_since_us",
+        "_is_body_wanted",
+        "_is_chunked",
+        "_is_http_1_1",
         "_is_last",
+        "_is_processing",
+        "_is_reading",
         "_linger_timer",
-        "_is_http_1_1",
-        "_header_pairs",
         "_parser",
-        "_is_processing",
         "_partial_request",
-        "_is_reading",
-        "_upload",
         "_pending",
-        "_is_body_wanted",
-        "has_sent_request",
+        "_unparsed",
+        "_unparsed_since_us",
+        "_upload",
+        "body_paused_since_us",
         "closing_since_us",
-        "ignores_input",
         "exchange",
+        "has_sent_request",
         "id",
         "idle_since_us",
+        "ignores_input",
         "request_started_us",
-        "write_blocked_since_us",
         "transport",
-        "body_paused_since_us",
+        "write_blocked_since_us",
     )
 
     def __init__(self, frontend: Frontend) -> None:
         self._frontend = frontend
         self._parser = HttpRequestParser(self)
-        self._partial_request: Request | None = None  # not whole yet
-        self._header_pairs: list[tuple[bytes, bytes]] | None = None  # its headers, while its head is not
-        self._pending: deque[Request] = deque()  # whole, or faulty, behind the open one
-        self._unparsed, self._unparsed_since_us = b"", 0  # not parsed yet, and when the first of it came
+        self._partial_request: Request | None = None  # the request that is being read
+        self._header_pairs: list[tuple[bytes, bytes]] | None = None  # until the head is complete
+        self._pending: deque[Request] = deque()  # complete or in error, behind the open request
+        self._unparsed, self._unparsed_since_us = b"", 0  # and when its first byte arrived
         self._arrived_us = 0
-        self._discarded_bytes = 0  # bytes that came once it was deaf
-        self._is_last = False  # the open request's answer ends the connection
+        self._discarded_bytes = 0  # bytes received while `ignores_input` or closing
+        self._is_last = False  # the connection ends with the open request's answer
         self._is_processing, self._is_reading = False, True
-        self._upload: BodyStream | None = None  # the open request's body, while it comes
-        self._is_body_wanted = False  # more of that is wanted
-        self.body_paused_since_us = 0  # since when not, while it comes
-        self._body_stream: BodyStream | None = None  # the answer's body, while it comes
-        self._is_answer_complete = self._is_chunked = False  # all of that has come; it goes out in chunks
-        self._is_http_1_1 = True  # the open request is HTTP/1.1
+        self._upload: BodyStream | None = None  # the open request's body, while it is received
+        self._is_body_wanted = False  # the body stream takes more
+        self.body_paused_since_us = 0  # since when it takes no more; 0 if it does
+        self._body_stream: BodyStream | None = None  # the answer's body, while it is sent
+        # Of the answer's body: all of it has arrived; it is sent in chunks.
+        self._is_answer_complete = self._is_chunked = False
+        self._is_http_1_1 = True  # of the open request
         self.transport: asyncio.Transport | None = None
-        self.exchange: Exchange | None = None  # the open one
-        self.id = b""  # and its correlation id
-        self.idle_since_us = frontend.clock()  # its last answer was out, or it was opened
-        self.request_started_us = 0  # the first byte of a request not yet whole, if any
-        self.write_blocked_since_us = 0  # since when the client has not taken an answer
-        self.closing_since_us = 0  # since when it is being closed, by either side
+        self.exchange: Exchange | None = None  # of the open request
+        self.id = b""  # correlation id of the open request
+        self.idle_since_us = frontend.clock()  # since its last answer, or since it was accepted
+        self.request_started_us = 0  # of the request being read; moved on as its body arrives; 0: none
+        self.write_blocked_since_us = 0  # since when the client has not read its answer; 0: it does
+        self.closing_since_us = 0  # since when it is being closed, by either side; 0: it is not
         self._linger_timer: Timer | None = None
-        self.has_sent_request = False  # a request has come whole
-        self.ignores_input = False  # nothing more is read
+        self.has_sent_request = False  # has sent at least one complete request
+        self.ignores_input = False  # no further input is parsed
 
-    # The transport's side
+    # Callbacks of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -190,16 +187,16 @@
         self._on_client_gone()
 
     def eof_received(self) -> None:
-        """The client has closed: what it asked for is called off now, and the transport closes as well.
+        """The client has closed its side: cancel its requests now; returning None closes the transport.
 
-        `connection_lost` may come much later: only when all that was written is out, which a client that
-        has gone never takes.
+        `connection_lost` may follow much later: only once everything written has been sent, and a client that
+        has gone never reads it.
         """
         self.closing_since_us = self.closing_since_us or self._frontend.clock()
         self._on_client_gone()
 
     def _on_client_gone(self) -> None:
-        """Nobody waits for an answer any more: nothing further begins, and what is open is called off."""
+        """No client waits for an answer any more: start no further request and cancel the open one."""
         self._ignore_input()
         self._frontend.abandon_exchange(self)
         upload, self._upload = self._upload, None
@@ -210,7 +207,7 @@
             body_stream.abandon()
 
     def check_client_gone(self) -> bool:
-        """Has the client closed, be it behind unread bytes?  Then it is treated as any that leaves."""
+        """Return whether the client has closed, even behind unread bytes; if so, cancel and close."""
         if self.transport is None or not is_peer_closed(self.transport):
             return False
         self._on_client_gone()
@@ -255,9 +252,9 @@
         self._process_input()
 
     def pause_writing(self) -> None:
-        """The client does not take its answer: it gets no further one before it has.
+        """The client does not read its answer: send no further one until it does.
 
-        Reading goes on, within its bound: else the client's close would not be noticed.
+        Reading goes on, up to MAX_UNPARSED_BYTES: otherwise a close by the client would not be noticed.
         """
         self.write_blocked_since_us = self._frontend.clock()
         if self._body_stream is not None:
@@ -282,10 +279,10 @@
 
     @property
     def is_reading_paused(self) -> bool:
-        """Is it open, and does the transport tell nothing of a close?"""
+        """Whether it is open with reading paused, so that the transport does not notice a close."""
         return not self._is_reading and self.transport is not None and not self.transport.is_closing()
 
-    # The parser's side
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
         self._partial_request, self._header_pairs = Request(self._arrived_us), []
@@ -298,7 +295,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         if self._header_pairs is not None:
             self._header_pairs.append((name, value))
-        elif request := self._partial_request:  # a trailer, of which nothing is passed on
+        elif request := self._partial_request:  # a trailer field; none is forwarded
             request.trailer_size += len(name) + len(value) + 4
             if request.trailer_size > MAX_HEAD_BYTES:
                 self._queue_error(BadRequest(400, "the trailers are too large", closes_connection=True))
@@ -307,7 +304,8 @@
         request, pairs, self._header_pairs = self._partial_request, self._header_pairs, None
         if not request or pairs is None:
             return
-        request.is_head_complete, self.request_started_us = True, self._arrived_us  # the body's time begins
+        # The time for the body begins.
+        request.is_head_complete, self.request_started_us = True, self._arrived_us
         if request.target[:1] != b"/":
             request.target = origin_form(request.target)
         request.method = self._parser.get_method()
@@ -331,7 +329,7 @@
                 length = headers.body_length()
                 request.content_length = -1 if length is None else max(0, length)
                 if self._parser.should_upgrade() and length not in (-1, 0):
-                    # The parser would take the body for the other protocol's bytes.
+                    # The parser would treat the body as bytes of the other protocol.
                     self._queue_error(BadRequest(400, "no body goes with an upgrade", closes_connection=True))
                 elif length and length > MAX_BODY_BYTES:
                     self._queue_error(BadRequest(413, "the body is too large", closes_connection=True))
@@ -343,7 +341,7 @@
         if not request:
             return
         request.body_size += len(body)
-        if self.request_started_us:  # who sends at a fair rate has the time for it
+        if self.request_started_us:  # a body that arrives at a fair rate is given its time
             self.request_started_us = min(
                 self._arrived_us, self.request_started_us + len(body) * BODY_TIME_PER_BYTE_US
             )
@@ -367,7 +365,7 @@
             self._pending.append(request)
 
     def _queue_error(self, error: BadRequest) -> None:
-        """What is being read cannot be; in its turn it is answered so, and nothing behind it is read."""
+        """Queue the error as the answer to the request being read, and parse nothing after it."""
         request = self._partial_request or Request(self._arrived_us)
         self._partial_request = None
         self.ignores_input, self._unparsed = True, b""
@@ -379,10 +377,10 @@
             request.error = error
             self._pending.append(request)
 
-    # Requests in turn
+    # Requests in order
 
     def _process_input(self) -> None:
-        """Serve what is whole, then parse on, until one is open or no bytes are left."""
+        """Serve complete requests and parse further input until one is open or no bytes are left."""
         if self._is_processing:
             return
         self._is_processing = True
@@ -438,7 +436,7 @@
         try:
             self._parser.feed_data(data)
         except HttpParserUpgrade:
-            # The request is served as any other; what comes behind it is another protocol's.
+            # The request is served like any other; what follows it belongs to another protocol.
             self.ignores_input = True
             if self._pending:
                 self._pending[-1].keep_alive = False
@@ -450,11 +448,11 @@
         request = self._partial_request
         if request and not request.is_head_complete:
             request.head_size += len(data)
-            if request.head_size > MAX_HEAD_BYTES:  # blanks included; a whole head is measured without
+            if request.head_size > MAX_HEAD_BYTES:  # with blanks; a complete head is measured without
                 self._queue_error(BadRequest(431, "the head is too large", closes_connection=True))
 
     def _check_admission(self, request: Request) -> None:
-        """Its head is whole and its body is not: it is refused now if it would be then, else read on."""
+        """The head is complete and the body is not: refuse the request now if the policy would."""
         request.is_admission_checked = True
         if refusal := self._frontend.check_before_body(request):
             request.is_answered_early = True
@@ -463,10 +461,10 @@
         elif request.headers.fields.get(EXPECT, b"").lower() == b"100-continue" and not request.body_size:
             self._write(CONTINUE)
 
-    # The source of a request's body
+    # Source of a request's body stream
 
     def _start_upload(self, request: Request) -> None:
-        """The body is too long to hold: the request is served now, and the rest goes on as it comes."""
+        """The body is too long to buffer: serve the request now and stream the rest of its body."""
         request.body_stream = self._upload = BodyStream(request.content_length, self)
         self.set_body_reading(False)
         limit_socket_buffers(self.transport)
@@ -485,12 +483,12 @@
             self._process_input()
 
     def body_abandoned(self) -> None:
-        """Whoever answers decides what becomes of the rest."""
+        """Nothing to do: the answer decides what happens to the rest of the body."""
 
-    # The sink of an answer's body
+    # Sink of an answer's body stream
 
     def _start_answer_stream(self, answer: Response, body_stream: BodyStream, is_last: bool) -> None:
-        """The answer's head goes out, and its body as it comes."""
+        """Write the head of the answer now and its body as it arrives."""
         self._body_stream, self._is_answer_complete = body_stream, False
         self._is_chunked = body_stream.size < 0 and self._is_http_1_1
         self._is_last = is_last or body_stream.size < 0 and not self._is_http_1_1
@@ -516,9 +514,9 @@
         self._body_stream = None
         body_stream.report_end(False)
         if body_stream.size >= 0 or self._is_chunked:
-            self.close()  # it ends short of what its head or its last chunk would tell
+            self.close()  # the client sees that content or the last chunk is missing
         else:
-            self.abort()  # nothing but a reset tells that it is not whole
+            self.abort()  # the end of the connection ends the body: only a reset shows that it is incomplete
 
     def _finish_answer_stream(self) -> None:
         body_stream, self._body_stream, self._is_answer_complete = self._body_stream, None, False
@@ -536,7 +534,7 @@
         self._frontend.serve(self, request)
 
     def on_answer(self, exchange: Exchange, answer: Answer) -> None:
-        """The engine's final answer to the open exchange."""
+        """Write the engine's final answer to the open exchange."""
         self.exchange = None
         self._frontend.on_answered(self)
         is_last = self.is_last
@@ -553,20 +551,20 @@
 
     @property
     def is_last(self) -> bool:
-        """Is the answer that is due the last on this connection?"""
+        """Whether the connection ends with the next answer."""
         if self._is_last or self._upload is not None:
             return True
         return self._frontend.closes_after_answer and not self._has_more_input
 
     @property
     def _has_more_input(self) -> bool:
-        """Is there something behind the open request?  It may be a whole one, which is owed an answer."""
+        """Whether there is input behind the open request, which may be a complete request to answer."""
         if self._pending or self._unparsed or self._partial_request is not None:
             return True
         return self.transport is not None and has_unread_bytes(self.transport)
 
     def reply(self, data: bytes, is_last: bool) -> None:
-        """Write an answer that no exchange brought; `last`: it says that its connection ends with it."""
+        """Write an answer that comes from no exchange; `is_last`: it announces the connection's end."""
         self.idle_since_us = self._frontend.clock()
         if self._upload is not None:
             self.reply_and_close(data)
@@ -576,7 +574,7 @@
             self.close()
 
     def reply_and_close(self, data: bytes) -> None:
-        """Write the answer to what was faulty; nothing that is sent behind it is a request."""
+        """Write the answer to a request in error and close: what follows it cannot be parsed."""
         self._write(data)
         self._upload = self._partial_request = None
         self.close()
@@ -585,28 +583,28 @@
         if self.transport and not self.closing_since_us and not self.transport.is_closing():
             try:
                 self.transport.write(data)
-            except RuntimeError:  # uvloop, where it has closed it and not said so yet
+            except RuntimeError:  # uvloop has closed the transport and not reported it yet
                 self.ignores_input = True
 
-    # Ends
+    # Ends of the connection
 
     @property
     def is_busy(self) -> bool:
-        """Is a request open, or waiting in line?"""
+        """Whether a request is open or pending, or an answer is being streamed."""
         return self.exchange is not None or bool(self._pending) or self._body_stream is not None
 
     @property
     def is_uploading(self) -> bool:
-        """Is a request open whose body still comes?"""
+        """Whether the open request's body is still being received."""
         return self._upload is not None
 
     @property
     def is_streaming_answer(self) -> bool:
-        """Is an answer on its way?"""
+        """Whether an answer is being streamed."""
         return self._body_stream is not None
 
     def time_out(self) -> None:
-        """The rest of a request has not come in its time."""
+        """The rest of a request, or the first one, did not arrive in time: answer so, or close."""
         if self.body_paused_since_us and self._upload is not None:
             self._queue_error(BadRequest(504, "no node took the body", closes_connection=True))
             self._process_input()
@@ -618,7 +616,7 @@
             self.close()
 
     def _ignore_input(self) -> None:
-        """Nothing more that has come or comes is a request."""
+        """Drop all input that is not served yet, and parse no more."""
         self.ignores_input, self._unparsed, self._partial_request, self.request_started_us = (
             True,
             b"",
@@ -628,10 +626,11 @@
         self._pending.clear()
 
     def close(self) -> None:
-        """End it in good order: what was written goes out, then the end of our side of the stream.
+        """Close gracefully: send what was written, then shut down the sending side.
 
-        What the client still sends is thrown away till it closes too, for LINGER_S: a close over unread bytes
-        resets the connection, and a reset may destroy the last answer before the client has read it.
+        What the client still sends is discarded until it closes too, for at most LINGER_S: closing with
+        unread bytes resets the connection, and a reset may destroy the last answer before the client has
+        read it.
         """
         self._ignore_input()
         transport = self.transport
@@ -640,33 +639,33 @@
         self.closing_since_us, self._discarded_bytes = self._frontend.clock(), 0
         try:
             transport.write_eof()
-        except (OSError, RuntimeError):  # it is broken already, and that was not told yet
+        except (OSError, RuntimeError):  # it is broken already, and the transport has not reported it yet
             transport.abort()
             return
         self._set_reading(True)
         self._linger_timer = self._frontend.start_linger(self)
 
     def close_at_once(self) -> None:
-        """End it once what was written is out, without waiting for the client: its descriptor is needed."""
+        """Close once everything written is sent, without lingering: the descriptor is needed."""
         self._ignore_input()
         if self.transport:
             self.transport.close()
 
     @property
     def is_lingering(self) -> bool:
-        """Is it over but for the client's close?"""
+        """Whether everything is sent and only the client's close is awaited."""
         transport = self.transport
         if transport is None or not self.closing_since_us or transport.is_closing():
             return False
         return not transport.get_write_buffer_size()
 
     def end_linger(self) -> None:
-        """The client has had its time to read the last answer; one that is not out yet goes on going out."""
+        """The time to read the last answer is over: close, unless some of it is still to be sent."""
         if self.is_lingering and self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """End it at once."""
+        """Close at once, without sending what was written."""
         self.ignores_input = True
         if self.transport:
             self.transport.abort()
--- a/roadlb/net/frontend.py
+++ b/roadlb/net/frontend.py
@@ -1,4 +1,4 @@
-"""The clients' side: what requests mean, which connections there may be, one final answer for each."""
+"""The client side: accepts and limits connections, interprets requests and passes them to the engine."""
 
 from __future__ import annotations
 
@@ -23,68 +23,64 @@
 from ..wheel import Timer, TimerWheel
 from .client_connection import BadRequest, ClientConnection, Request
 from .headers import ACCOUNT, CORRELATION_ID, FACTS, HOST, REPEAT, TIME_LEFT, HeaderError, parse_name_values
-from .http import BODY_BUFFER_BYTES, SMALL_BODY_BUFFER_BYTES, encode_answer, empty_answer, text_answer
+from .http import BODY_BUFFER_BYTES, SMALL_BODY_BUFFER_BYTES, empty_answer, encode_answer, text_answer
 from .sockets import has_unread_bytes
 
 logger = logging.getLogger(__name__)
 
-# What the way here and back takes off a client's time.  The bench measured at the 99th percentile, from a
-# client's send to the first attempt and from an instance's answer to the client, 2.9 and 2.0 ms on a calm
-# day, 8.2 and 5.8 ms on an overloaded one.
+# Deducted from the client's remaining time for the way to this process and back.  At the 99th percentile,
+# the ways from a client's send to the first attempt and from a server's answer to the client took 2.9 and
+# 2.0 ms on a calm day, 8.2 and 5.8 ms on an overloaded one.
 NETWORK_MARGIN_US = 10_000
-REQUEST_TIMEOUT_S = 2.6  # for a request to come whole, from its first byte, or from connecting for the first
-WRITE_TIMEOUT_S = 15.0  # for a client to take more of a body that flows, or for a node to
-IDLE_TIMEOUT_S = 10.0  # for a connection between requests
-SHORT_IDLE_TIMEOUT_S = 2.0  # and if connections are not plentiful, the longest idle may go after this
-LOW_USE_RATIO, HIGH_USE_RATIO = (
-    1 / 3,
-    3 / 4,
-)  # of the connections that there may be: up to here, and from here on
-FIRST_REQUEST_GRACE_S = 0.5  # a client that means to ask has asked by then
+REQUEST_TIMEOUT_S = 2.6  # to receive a request, from its first byte or, for the first, from connecting
+WRITE_TIMEOUT_S = 15.0  # for a client to take more of a streamed answer, or a server of an upload
+IDLE_TIMEOUT_S = 10.0  # of a connection between requests
+SHORT_IDLE_TIMEOUT_S = 2.0  # the same while connections or resources are scarce
+# Of the maximum of connections: up to the first idle ones may stay for IDLE_TIMEOUT_S; past the second each
+# answer closes its connection.
+LOW_USE_RATIO, HIGH_USE_RATIO = 1 / 3, 3 / 4
+FIRST_REQUEST_GRACE_S = 0.5  # a client that connects to send a request has sent it by then
 SWEEP_INTERVAL_S = 0.25
-PAUSED_CHECK_INTERVAL_US = 20_000  # how often the clients that are not read are asked whether they have left
-LINGER_S = 0.3  # for a client to close too, once the last answer on its connection and our end are out
+PAUSED_CHECK_INTERVAL_US = 20_000  # between checks whether the clients of paused connections have closed
+LINGER_S = 0.3  # for the client to close too, once the last answer and our end of stream are sent
 MAX_TIME_LEFT_S = 3_600.0
-ID_RETENTION_US = 5_000_000  # an id is not taken again for so long after its answer ...
-MAX_RETAINED_IDS = 20_000  # ... or until so many others have come
-MAX_CACHED_TARGETS, MAX_CACHED_TARGET_BYTES = (
-    4_096,
-    128,
-)  # targets remembered, and how long one may be for that
-# One whole read in the form that clients send it: only headers that say nothing of a body or the connection.
+ID_RETENTION_US = 5_000_000  # a correlation id is not accepted again for this long after its answer ...
+MAX_RETAINED_IDS = 20_000  # ... or until this many others have been answered
+MAX_CACHED_TARGETS, MAX_CACHED_TARGET_BYTES = 4_096, 128  # a longer target is not cached
+# A complete GET as clients commonly send it: no header in it concerns a body or the connection.
 SIMPLE_GET = re.compile(
     rb"GET (/[!-~]*) HTTP/1\.1\r\n"
     rb"(?:(?:Host|X-Correlation-Id|X-Time-Left|X-Repeat|Accept|User-Agent): [ -~]+\r\n|"
     rb"X-Account: ([!-~]+)\r\n)+\r\n"
 ).fullmatch
 FORWARDABLE = re.compile(rb'[!"$-~]*').fullmatch
-MAX_LOGGED_REJECTS_PER_S = 20  # a second; the others are only counted
+MAX_LOGGED_REJECTS_PER_S = 20  # the others are only counted
 
 
 def hash_key(key: bytes) -> int:
-    """A key as the module wants it: 64 bits, alike in every process; 0 stands for none."""
+    """Hash a key to 64 bits, the same in every process; 0 stands for no key."""
     return int.from_bytes(blake2b(key, digest_size=8).digest(), "little") or 1 if key else 0
 
 
 def is_forwardable(target: bytes) -> bool:
-    """May this target go into a request line as it is?  What is no ASCII, or ends it, may not."""
+    """Whether a target can stand unchanged in a request line: all printable ASCII, with no empty query."""
     return FORWARDABLE(target) is not None and target[-1:] != b"?"
 
 
 def read_target(target: bytes) -> tuple[bytes, int, bool]:
-    """The name of the class (b"" if there is no path), the key's number, and whether it may be passed on."""
+    """Return the class name (b"" if there is no path), the key's hash, and whether it is forwardable."""
     if not target.startswith(b"/"):
         return b"", 0, False
     parts = target.partition(b"?")[0].split(b"/")
     return parts[1], hash_key(parts[-1] if len(parts) > 2 else b""), is_forwardable(target)
 
 
-# Most requests are for one of some thousand targets; reading one anew takes 6 us.
+# Most requests are for one of a few thousand targets; reading one without the cache takes 6 us.
 read_target_cached = lru_cache(MAX_CACHED_TARGETS)(read_target)
 
 
 class Frontend:
-    """Accepts clients' connections; `loop.create_server` takes it as the protocol factory."""
+    """The protocol factory of the client listener, and the owner of all client connections."""
 
     def __init__(
         self,
@@ -96,69 +92,74 @@
         wheel: TimerWheel,
         arrived_us: Callable[[asyncio.Transport], int] | None = None,
     ) -> None:
-        """`ready`: is a node known?  `came_us`: when bytes read now may first have come (default: now)."""
+        """`is_ready`: is a server known?  `arrived_us`: when bytes read now may have come (default: now)."""
         self.counters, self.clock = counters, clock
         self.arrived_us = arrived_us or (lambda transport: clock())
         self._engine, self._is_ready, self._wheel = engine, is_ready, wheel
         classes = config.settings.classes
-        # A name that no path can hold as it is comes in its percent-encoded form.
+        # A name that cannot stand in a path as it is arrives percent-encoded.
         self._classes = {quote(c.name, safe="").encode(): i for i, c in enumerate(classes)}
         self._classes.update({c.name.encode(): i for i, c in enumerate(classes)})
         self._methods = [b"GET" if c.effect is Effect.SAFE else b"POST" for c in classes]
         self._deadlines_us = [c.deadline_us for c in classes]
         self._tenants = {t.name.encode(): i for i, t in enumerate(config.settings.tenants)}
         self._max_connections, self._name = config.client_sockets, config.name.encode()
-        self._known_ids: set[bytes] = set()  # those that are open, or were answered lately
-        self._expiring_ids: deque[tuple[int, bytes]] = deque()  # the latter, until which time they count
+        self._known_ids: set[bytes] = set()  # correlation ids of open and of recently answered requests
+        self._expiring_ids: deque[tuple[int, bytes]] = deque()  # the answered ones, with when they expire
         self._reject_log_limit = Limit(clock, MAX_LOGGED_REJECTS_PER_S)
-        self.connections: dict[ClientConnection, None] = {}  # in the order in which they came
-        self._paused_connections: dict[ClientConnection, None] = {}  # those that are not read for now
+        self.connections: dict[ClientConnection, None] = {}  # in the order of their acceptance
+        self._paused_connections: dict[ClientConnection, None] = {}  # reading is paused
         self._all_closed: asyncio.Future[None] | None = None
-        self.draining = False  # each answer ends its connection
-        self.is_short_of_resources = False  # memory or descriptors are short: idle connections go sooner
+        self.draining = False  # each answer closes its connection
+        self.is_short_of_resources = False  # memory or descriptors: idle connections are closed sooner
 
     def __call__(self) -> asyncio.Protocol:
-        """A protocol for a new connection."""
+        """Create the protocol of a new connection."""
         return cast(asyncio.Protocol, ClientConnection(self))
 
     def set_max_connections(self, connections: int) -> None:
-        """So many connections there may be from now on; those that are open stay."""
+        """Set how many connections may be open; those beyond it stay open."""
         self._max_connections = connections
 
     def set_deadlines(self, settings: Settings) -> None:
-        """Those that hold from now on; a request that was read keeps its own."""
+        """Take the classes' deadlines from new settings; requests already read keep theirs."""
         self._deadlines_us = [c.deadline_us for c in settings.classes]
 
     # Connections
 
     def on_connected(self, new: ClientConnection) -> None:
-        """Past the limit of connections, each new one costs another: one that says nothing, or idles.
+        """Register a connection; past the maximum, close another one that is silent or idle.
 
-        To close one that idles harms least: a request that crosses it is sent once more.
+        Closing an idle connection does the least harm: the client repeats a request that crosses the close.
         """
         self.connections[new] = None
         if len(self.connections) <= self._max_connections:
             return
         if sum(holds_descriptor(c) for c in self.connections) <= self._max_connections:
-            return  # others are just being closed
+            return  # others are being closed already
         if lingering := next((c for c in self.connections if c.is_lingering), None):
-            lingering.end_linger()  # it only waits for its client's end
+            lingering.end_linger()  # it only waits for its client to close
             return
         self.counters.add("client.crowded")
-        spare = self._least_needed(new)
-        if has_unread(spare):
-            spare.close()  # its request is thrown away, not reset, so that the client reads an orderly end
+        least_needed = self._least_needed(new)
+        if has_unread(least_needed):
+            least_needed.close()  # its request is discarded, not reset: the client sees a graceful end
         else:
-            spare.close_at_once()
+            least_needed.close_at_once()
 
     def _least_needed(self, new: ClientConnection) -> ClientConnection:
-        """The connection that is missed least; one with bytes on their way in is about to ask."""
-        quiet, accepted_before_us = self._without_request(), self.clock() - int(FIRST_REQUEST_GRACE_S * 1e6)
-        silent = [c for c in quiet if not c.has_sent_request]  # the new one is the last of them
-        idle = [c for c in quiet if c.has_sent_request and not c.request_started_us]
-        for spare in ([c for c in silent if c.idle_since_us < accepted_before_us], idle, silent[:-1], silent):
-            spare.sort(key=lambda c: c.idle_since_us)
-            if found := next((c for c in spare if not has_unread(c)), None):
+        """Choose the connection to close; one with unread bytes is about to send a request and is spared."""
+        unused, grace_start_us = self._without_request(), self.clock() - int(FIRST_REQUEST_GRACE_S * 1e6)
+        silent = [c for c in unused if not c.has_sent_request]  # the new one comes last
+        idle = [c for c in unused if c.has_sent_request and not c.request_started_us]
+        for candidates in (
+            [c for c in silent if c.idle_since_us < grace_start_us],  # past the grace
+            idle,
+            silent[:-1],
+            silent,
+        ):
+            candidates.sort(key=lambda c: c.idle_since_us)
+            if found := next((c for c in candidates if not has_unread(c)), None):
                 return found
         return new
 
@@ -173,27 +174,27 @@
 
     @property
     def closes_after_answer(self) -> bool:
-        """Does each answer end its connection now, as the program ends or connections are few?"""
+        """Whether each answer closes its connection: while draining, or near the maximum of connections."""
         return self.draining or len(self.connections) > self._max_connections * HIGH_USE_RATIO
 
     @property
     def body_buffer_bytes(self) -> int:
-        """So many bytes of a body are held before it flows."""
+        """How many bytes of a body are buffered before it is streamed."""
         return SMALL_BODY_BUFFER_BYTES if self.is_short_of_resources else BODY_BUFFER_BYTES
 
     @property
     def is_overloaded(self) -> bool:
-        """Is part of the demand to be refused for want of the program's own means?"""
+        """Whether this process lacks resources and refuses part of the requests."""
         return self._engine.is_process_overloaded
 
     def start_linger(self, connection: ClientConnection) -> Timer:
-        """Have it told when its client has had its time to close."""
+        """Start the timer that ends the connection's lingering."""
         return self._wheel.call_at(
             self.clock() + int(LINGER_S * 1e6), ClientConnection.end_linger, connection
         )
 
     def watch_paused(self, connection: ClientConnection) -> None:
-        """Its transport does not read, and so does not tell that its client leaves: look after it."""
+        """Poll for the client's close: a transport whose reading is paused does not report it."""
         if not self._paused_connections:
             self._wheel.call_at(self.clock() + PAUSED_CHECK_INTERVAL_US, Frontend._check_paused, self)
         self._paused_connections[connection] = None
@@ -210,9 +211,9 @@
             self.sweep()
 
     def sweep(self) -> None:
-        """End the connections that have been silent or idle for too long, and forget old ids."""
+        """End connections that are overdue, and forget expired correlation ids."""
         now = self.clock()
-        # Clients hold only so many connections: one that is kept idle is one that another may be waiting for.
+        # Connections are limited: one that is kept idle may be one that another client is waiting for.
         is_use_low = (
             len(self.connections) <= self._max_connections * LOW_USE_RATIO and not self.is_short_of_resources
         )
@@ -231,16 +232,16 @@
             self._known_ids.discard(self._expiring_ids.popleft()[1])
 
     def close_idle(self, share: float) -> None:
-        """Close this part of the connections that carry no request, the longest idle first.
+        """Close this share of the connections without a request, the longest idle first.
 
-        One that was accepted a moment ago may have its first request on the way, and its client could not
-        tell that it was never read: it is left alone for as long as a client takes that means to ask.
+        One that was just accepted may have its first request on the way, and its client could not tell that
+        the request was never read: it is spared for FIRST_REQUEST_GRACE_S.
         """
-        accepted_before_us = self.clock() - int(FIRST_REQUEST_GRACE_S * 1e6)
+        grace_start_us = self.clock() - int(FIRST_REQUEST_GRACE_S * 1e6)
         idle = [
             c
             for c in self._without_request()
-            if not c.request_started_us and (c.has_sent_request or c.idle_since_us <= accepted_before_us)
+            if not c.request_started_us and (c.has_sent_request or c.idle_since_us <= grace_start_us)
         ]
         idle.sort(key=lambda c: c.idle_since_us)
         for connection in idle[: ceil(len(idle) * share)]:
@@ -248,34 +249,34 @@
                 connection.close()
 
     def close_unfinished(self) -> None:
-        """Close the connections that have begun a request and not ended it."""
+        """Close the connections on which an incomplete request has arrived."""
         for connection in self._without_request():
             if connection.request_started_us and not has_unread(connection):
                 connection.close()
 
-    async def wait_until_closed(self, until_us: int, written_by_us: int) -> None:
-        """Wait until no connection is left, or the clock shows this time; then end what is left.
+    async def wait_until_closed(self, deadline_at_us: int, write_deadline_at_us: int) -> None:
+        """Wait until all connections are closed, at most until `deadline_at_us`; then abort the rest.
 
-        Those on which an answer is still being written, or on which bytes wait to be read, have until
-        `written_by_us`.
+        Connections on which an answer is still being written, or which have unread bytes, may take until
+        `write_deadline_at_us`.
         """
-        await self._wait_none_left(until_us)
+        await self._wait_none_left(deadline_at_us)
         for connection in list(self.connections):
             if not has_pending_io(connection):
                 connection.abort()
-        await self._wait_none_left(written_by_us)
+        await self._wait_none_left(write_deadline_at_us)
         for connection in list(self.connections):
             connection.abort()
 
-    async def _wait_none_left(self, until_us: int) -> None:
+    async def _wait_none_left(self, deadline_at_us: int) -> None:
         if self.connections:
             self._all_closed = asyncio.get_running_loop().create_future()
-            await asyncio.wait([self._all_closed], timeout=max(0, until_us - self.clock()) / 1e6)
+            await asyncio.wait([self._all_closed], timeout=max(0, deadline_at_us - self.clock()) / 1e6)
 
     # Requests
 
     def serve(self, connection: ClientConnection, request: Request) -> None:
-        """Give a whole request to the engine, or answer it at once."""
+        """Pass a request to the engine, or answer it at once."""
         if request.target.partition(b"?")[0] == b"/healthz" and not request.error:
             is_last = connection.is_last
             connection.reply(empty_answer(200 if self._is_ready() else 503, is_last), is_last)
@@ -300,45 +301,45 @@
                 connection.reply_and_close(text_answer(500, "fault", is_last=True))
 
     def on_upload_complete(self, connection: ClientConnection) -> None:
-        """The body of its open request is whole."""
+        """Tell the engine that the body of the open request is complete."""
         if connection.exchange is not None:
             self._engine.body_complete(connection.exchange)
 
     def abandon_exchange(self, connection: ClientConnection) -> None:
-        """What it asked for cannot go on: its body is faulty, or nobody takes it."""
+        """Cancel the open request: its client has gone, or its body is in error."""
         if exchange := connection.exchange:
             connection.exchange = None
             self._engine.client_gone(exchange)
             self._retain_id(connection)
 
     def on_answered(self, connection: ClientConnection) -> None:
-        """Its exchange has had its final answer."""
+        """Note that the open exchange has its final answer."""
         connection.idle_since_us = now = self.clock()
         self._expiring_ids.append((now + ID_RETENTION_US, connection.id))
 
     def check_before_body(self, request: Request) -> Refusal | None:
-        """Would this request, whose body has not come, be refused now?  Then its body need not be read."""
+        """Return the refusal if the policy would refuse the request now: its body need not be read then."""
         try:
             class_index, tenant, key, left_us, work_us = self._classify(request)
         except BadRequest:
-            return None  # it is told so in its turn
+            return None  # answered in its turn
         left_us -= self.clock() - request.arrived_us
         return self._engine.check_admission(class_index, tenant, key, max(1, left_us), work_us)
 
     def refuse_unparsed(self, data: bytes, is_last: bool) -> bytes:
-        """The refusal of what is one plain read and nothing else, if the module would refuse it; else b"".
+        """Return the refusal if the data is one simple GET that the policy would refuse; else b"".
 
-        While the program is short of its own means it must refuse more than it can read: no parser, exchange
-        or table of ids is needed to say no.  Whatever is not of the plainest form goes the usual way.
+        While the process is overloaded it has to refuse more requests than it could parse: this takes no
+        parser, no exchange and no correlation id.  Any other input is handled as usual.
         """
-        read = SIMPLE_GET(data)
-        if read is None:
+        match = SIMPLE_GET(data)
+        if match is None:
             return b""
-        name, key, can_forward = (
-            read_target_cached if len(read[1]) <= MAX_CACHED_TARGET_BYTES else read_target
-        )(read[1])
-        class_index = self._classes.get(name)
-        tenant = self._tenants.get(read[2]) if self._tenants else 0
+        class_name, key, can_forward = (
+            read_target_cached if len(match[1]) <= MAX_CACHED_TARGET_BYTES else read_target
+        )(match[1])
+        class_index = self._classes.get(class_name)
+        tenant = self._tenants.get(match[2]) if self._tenants else 0
         if class_index is None or self._methods[class_index] != b"GET" or tenant is None or not can_forward:
             return b""
         refusal = self._engine.check_admission(class_index, tenant, key, self._deadlines_us[class_index], 0)
@@ -346,7 +347,7 @@
 
     def _answer_error(self, connection: ClientConnection, request: Request, e: BadRequest) -> None:
         self.counters.add(f"rejected.{e.status}")
-        if self._reject_log_limit.allows():  # whoever sends faults at full speed must not fill the log too
+        if self._reject_log_limit.allows():  # a client that sends errors at full speed must not flood the log
             logger.warning(
                 "request rejected",
                 extra=fields(
@@ -366,7 +367,7 @@
             connection.reply(answer, is_last)
 
     def _reserve_id(self, request: Request) -> bytes:
-        """An id that is open must not reach an instance twice, whoever sends it: orders never run twice."""
+        """Reserve the id: two requests with one id must not reach a server, as no order may run twice."""
         id = request.headers.fields[CORRELATION_ID]
         if id in self._known_ids:
             raise BadRequest(409, "X-Correlation-Id is in use")
@@ -377,12 +378,12 @@
         self._expiring_ids.append((self.clock() + ID_RETENTION_US, connection.id))
 
     def _classify(self, request: Request) -> tuple[int, int, int, int, int]:
-        """Class, tenant, key, time left when it came and work (both us) of a request, or BadRequest."""
+        """Return class, tenant, key, time left on arrival and expected work (both us); raises BadRequest."""
         target, headers = request.target, request.headers.fields
-        name, key, can_forward = (
+        class_name, key, can_forward = (
             read_target_cached if len(target) <= MAX_CACHED_TARGET_BYTES else read_target
         )(target)
-        class_index = self._classes.get(name)
+        class_index = self._classes.get(class_name)
         if class_index is None:
             raise BadRequest(404, "the path's first part names no class")
         if not can_forward:
@@ -402,13 +403,15 @@
         return class_index, tenant, key, left_us, _work_us(headers.get(FACTS))
 
     def _new_exchange(self, connection: ClientConnection, request: Request) -> Exchange:
-        """Check a request and put into an exchange what the two sides need to know of it."""
+        """Check a request and create its exchange; raises BadRequest."""
         class_index, tenant, key, left_us, work_us = self._classify(request)
         try:
             head = request.headers.forwarded()
         except HeaderError as e:
             raise BadRequest(400, str(e)) from None
-        if HOST not in request.headers.fields:  # as HTTP/1.0 may; the instance is spoken to in 1.1
+        if (
+            HOST not in request.headers.fields
+        ):  # allowed in HTTP/1.0; servers are sent HTTP/1.1, which requires it
             head = b"Host: %b\r\n%b" % (self._name, head)
         return Exchange(
             Message(request.method, request.target, head, b"".join(request.body), request.body_stream),
@@ -419,7 +422,7 @@
             work_us,
             request.headers.fields.get(REPEAT) == b"1",
             connection.on_answer,
-            # One that waited, in line behind another or for us to read it, has used that time up.
+            # The time that it waited, behind another request or to be read, counts against its deadline.
             request.arrived_us,
             connection.check_client_gone,
         )
@@ -428,33 +431,33 @@
         if text is None:
             return self._deadlines_us[class_index]
         try:
-            left = float(text)
+            left_s = float(text)
         except ValueError:
-            left = -1.0
-        if not 0 < left <= MAX_TIME_LEFT_S:
+            left_s = -1.0
+        if not 0 < left_s <= MAX_TIME_LEFT_S:
             raise BadRequest(400, "X-Time-Left is no number of seconds")
-        # No client waits for longer than its class allows; one that says so must not hold an instance.
-        return max(1, min(int(left * 1e6), self._deadlines_us[class_index]) - NETWORK_MARGIN_US)
+        # A client that announces more time than its class allows must not occupy a server for it.
+        return max(1, min(int(left_s * 1e6), self._deadlines_us[class_index]) - NETWORK_MARGIN_US)
 
 
 def holds_descriptor(connection: ClientConnection) -> bool:
-    """Is its descriptor neither free nor just being freed?"""
+    """Whether it holds a descriptor that is not being released already."""
     return connection.transport is not None and not connection.transport.is_closing()
 
 
 def is_closing(connection: ClientConnection) -> bool:
-    """Is it closed, or being closed?"""
+    """Whether it is closed or being closed."""
     transport = connection.transport
     return transport is None or connection.closing_since_us != 0 or transport.is_closing()
 
 
 def has_unread(connection: ClientConnection) -> bool:
-    """Have bytes come that it has not read?  They may end a request, which is then owed an answer."""
+    """Whether bytes wait to be read; they may complete a request, which must then be answered."""
     return connection.transport is not None and has_unread_bytes(connection.transport)
 
 
 def has_pending_io(connection: ClientConnection) -> bool:
-    """Is an answer being written, or have bytes come that were not read?"""
+    """Whether an answer is being written or bytes wait to be read."""
     transport = connection.transport
     if transport is None:
         return False
@@ -464,7 +467,7 @@
 
 
 def is_overdue(connection: ClientConnection, now: int, idle_s: float) -> bool:
-    """Has it been silent, at one request, or at not taking an answer for too long?  `now` in microseconds."""
+    """Whether it exceeds a timeout: idle, sending a request, or reading an answer.  `now` in microseconds."""
     if connection.write_blocked_since_us:
         return (
             now - connection.write_blocked_since_us
@@ -486,7 +489,7 @@
 
 
 def _work_us(facts: bytes | None) -> int:
-    """The expected work, where the client knows it."""
+    """Return the expected work that the client states; 0 if it states none."""
     if not facts:
         return 0
     try:
--- a/roadlb/net/headers.py
+++ b/roadlb/net/headers.py
@@ -1,4 +1,4 @@
-"""The protocol's header names, and what is passed on of headers.  Names and values are bytes."""
+"""Header names, parsed headers and which of them are forwarded.  Names and values are bytes."""
 
 from __future__ import annotations
 
@@ -18,11 +18,8 @@
 )
 HOST = b"host"
 
-MAX_CACHED_REPORTS, MAX_CACHED_REPORT_BYTES = (
-    1_024,
-    128,
-)  # reports remembered, and how long one may be for that
-# Of one connection only (RFC 9110, 7.6.1), or made anew for the next.
+MAX_CACHED_REPORTS, MAX_CACHED_REPORT_BYTES = 1_024, 128  # a longer report is not cached
+# Headers of one connection only (RFC 9110, 7.6.1), or written anew for the next hop.
 NOT_FORWARDED = frozenset(
     {
         CONNECTION,
@@ -41,36 +38,36 @@
         UNPROCESSED,
     }
 )
-# Some readers take these for the names with hyphens, and would see another length than we do.
+# Some recipients treat these like the names with hyphens, and would determine another body length.
 LOOK_ALIKE = frozenset({b"content_length", b"transfer_encoding"})
-# Tokens of Connection that name no header, and what no request may lose on its way.
+# Tokens of Connection that name no header, and headers that it must not remove from a request.
 NOT_HOP_BY_HOP = frozenset({b"", b"close", b"keep-alive", b"upgrade", b"te", HOST, CORRELATION_ID, ACCOUNT})
-# Who reads the other of two of these takes the request for another's.
+# Of a repeated one, recipients could read different values and take the request for another one.
 SINGLE_VALUED = frozenset({CORRELATION_ID, ACCOUNT, TIME_LEFT, HOST})
 
 
 class HeaderError(Exception):
-    """Headers that the next reader could take for others; the text is for a person."""
+    """Headers that another recipient could interpret differently; the text says why."""
 
 
 class Headers:
-    """The headers of one message: those by which it is understood, and the rest.
+    """The headers of one message, made from its pairs of name and value in the order received.
 
-    Made from the pairs of name and value as they came.  `fields` has the first value under each lower-case
-    name, `lines` what is passed on, `size` the bytes of all lines without the blanks round values, `lengths`
-    and `encodings` the values of Content-Length and Transfer-Encoding, `hop` what Connection takes out.
-    `twice`: one of ONCE came again; `look_alike`: one of LOOK_ALIKE came.
+    `fields` has the first value of each lower-case name, `forwarded_lines` the lines to forward, `size` the
+    bytes of all lines without blanks around values, `content_lengths` and `transfer_encodings` the values of
+    these headers, `hop_by_hop` the names that Connection excludes from forwarding.  `has_duplicates`: one of
+    SINGLE_VALUED is repeated; `has_look_alike`: one of LOOK_ALIKE is present.
     """
 
     __slots__ = (
-        "transfer_encodings",
-        "fields",
-        "hop_by_hop",
         "content_lengths",
+        "fields",
         "forwarded_lines",
+        "has_duplicates",
         "has_look_alike",
+        "hop_by_hop",
         "size",
-        "has_duplicates",
+        "transfer_encodings",
     )
 
     def __init__(self, pairs: Iterable[tuple[bytes, bytes]] = ()) -> None:
@@ -101,9 +98,9 @@
         self.size = size
 
     def body_length(self) -> int | None:
-        """The body's length as told; None: it comes in chunks; -1: nothing is told.
+        """Return the body's declared length; None: chunked; -1: none is declared.
 
-        Raises Faulty where another reader could see another length (RFC 9112, 6.3).
+        Raises HeaderError if another recipient could determine another length (RFC 9112, 6.3).
         """
         if self.has_look_alike:
             raise HeaderError("a length under a name with an underscore")
@@ -122,9 +119,9 @@
         return int(self.content_lengths[0])
 
     def forwarded(self) -> bytes:
-        """The lines that concern the far end, without those that Connection names.
+        """Return the lines to forward, without those that Connection names.
 
-        Raises Faulty if a value holds a line end or a zero: it would be another header at the next reader.
+        Raises HeaderError if a value contains a line end or a NUL: the next hop could read it as a header.
         """
         forwarded_lines = self.forwarded_lines
         if self.hop_by_hop:
@@ -141,21 +138,21 @@
 
 
 def parse_name_values(text: str) -> dict[str, str]:
-    """`name=value,name=value`"""
+    """Parse `name=value,name=value`; parts without `=` are ignored."""
     return {k.strip(): v.strip() for k, sep, v in (part.partition("=") for part in text.split(",")) if sep}
 
 
 class LoadReports:
-    """Reads load reports, whose fields go by the settings' names or by the module's."""
+    """Parses load reports, whose fields have the names of the settings or those of the policy."""
 
     def __init__(self, fields: Iterable[str]) -> None:
         wire_names = {module: wire for wire, module in FIELDS.items()}
         self._names = [(f, wire_names.get(f, f)) for f in fields]
-        # The same report stands in the answers of a stretch of time, and few differ.
+        # Consecutive answers often carry the same report.
         self._read_cached = lru_cache(MAX_CACHED_REPORTS)(self._read)
 
     def read(self, text: bytes | None) -> tuple[float, ...]:
-        """The values in the settings' order; none where one is missing or is no number."""
+        """Return the values in the settings' order; empty if one is missing or is not a number."""
         if not text or not self._names:
             return ()
         return self._read_cached(text) if len(text) <= MAX_CACHED_REPORT_BYTES else self._read(text)
@@ -166,5 +163,5 @@
             report = tuple(float(values[a] if a in values else values[b]) for a, b in self._names)
         except (KeyError, ValueError):
             return ()
-        # One instance's "nan" would spoil every comparison of loads.
+        # A single NaN would invalidate every comparison of loads.
         return report if all(0 <= value < math.inf for value in report) else ()
--- a/roadlb/net/http.py
+++ b/roadlb/net/http.py
@@ -1,4 +1,4 @@
-"""Bounds of HTTP/1.1 messages, and answers in the bytes that go out."""
+"""Limits of HTTP/1.1 messages, and the encoding of answers."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from ..exchange import Answer, Refusal, Response
 
-BODY_BUFFER_BYTES = 65_536  # of a body, before it flows
-SMALL_BODY_BUFFER_BYTES = 4_096  # and where memory is short
+BODY_BUFFER_BYTES = 65_536  # of a body, before it is streamed
+SMALL_BODY_BUFFER_BYTES = 4_096  # the same while the process is short of memory or descriptors
 MAX_BODY_BYTES = 32 << 20
 MAX_HEAD_BYTES = 16_384
-MAX_INTERIM_RESPONSES = 8  # 1xx answers in front of the final one
+MAX_INTERIM_RESPONSES = 8  # 1xx responses before the final one
 
 LAST_CHUNK = b"0\r\n\r\n"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -20,7 +20,7 @@
 
 
 def encode_answer(answer: Answer, is_last: bool) -> bytes:
-    """A final answer's bytes; `last`: its connection ends with it."""
+    """Encode a final answer; `is_last`: the connection ends with it."""
     close = _CLOSE if is_last else b""
     if isinstance(answer, Response):
         return b"%b%b%bContent-Length: %d\r\n\r\n%b" % (
@@ -39,7 +39,11 @@
 
 
 def encode_head(answer: Response, is_last: bool, chunked: bool) -> bytes:
-    """The head of an answer whose body flows; `chunked`: with no length, else with the flow's, or neither."""
+    """Encode the head of an answer whose body is streamed.
+
+    The length stands in it if it is known; otherwise `chunked` says whether the body is sent in chunks or is
+    ended by the connection.
+    """
     size = answer.body_stream.size if answer.body_stream else -1
     framing = b"Transfer-Encoding: chunked\r\n" if chunked else b""
     if size >= 0:
@@ -48,6 +52,7 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
+    """Encode one chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
@@ -58,7 +63,7 @@
     extra_headers: bytes = b"",
     content_type: bytes = b"text/plain; charset=utf-8",
 ) -> bytes:
-    """An answer of our own with a line of text for a person; `more`: further header lines."""
+    """Encode an answer of the balancer itself with a line of text; `extra_headers`: further header lines."""
     body = text.encode() + b"\n"
     return b"%bContent-Type: %b\r\n%b%bContent-Length: %d\r\n\r\n%b" % (
         _STATUS[status],
@@ -71,5 +76,5 @@
 
 
 def empty_answer(status: int, is_last: bool) -> bytes:
-    """An answer of our own without a body: status 200 or 503."""
+    """Encode an answer of the balancer itself without a body: status 200 or 503."""
     return b"%b%b\r\n" % (_EMPTY[status], _CLOSE if is_last else b"")
--- a/roadlb/net/server_connection.py
+++ b/roadlb/net/server_connection.py
@@ -138,7 +138,7 @@
         self._pool, self.server, self.address = pool, server, address
         self._parser = HttpResponseParser(self)
         # A control byte in a header, such as a load report that cannot be read, costs no good answer.  Line
-        # ends and zeros in one still do, in `Headers.passed_on`.
+        # ends and zeros in one still do, in `Headers.forwarded`.
         self._parser.set_dangerous_leniencies(lenient_headers=True)
         self._call: Call | None = None
         self._headers = Headers()
--- a/roadlb/net/sockets.py
+++ b/roadlb/net/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets: those that listen, and what the kernel tells of a connection."""
+"""Listening sockets, and the kernel's state of a connection."""
 
 from __future__ import annotations
 
@@ -24,53 +24,56 @@
 _INT = struct.Struct("i")
 
 BACKLOG = 512
-SOCKET_BUFFER_BYTES = 65_536  # of the kernel, on either side of a body that flows
-# Of the loop, from accepting a connection until its protocol knows it: uvloop needs one, asyncio three.
-ACCEPT_TURNS = 4
-ADDRESS_WAIT_S = 10.0  # how long a predecessor may take to end
+SOCKET_BUFFER_BYTES = 65_536  # the kernel's, each way, on connections with a body stream
+# Iterations of the loop from accepting a connection to connection_made: uvloop needs one, asyncio three.
+ACCEPT_ITERATIONS = 4
+ADDRESS_WAIT_S = 10.0  # how long a previous process may take to release the address
 
 
-def listening_socket(at: Address, backlog: int) -> socket.socket:
-    """A TCP socket that listens at this address; raises OSError where it cannot.
+def listening_socket(address: Address, backlog: int) -> socket.socket:
+    """Create a TCP socket that listens at this address; raises OSError if it cannot.
 
-    Left to `loop.create_server`, uvloop has libuv's thread pool look up even a numeric host: four threads,
-    each with its stack, for as long as the process lives.
+    With `loop.create_server`, uvloop would resolve even a numeric host in libuv's thread pool: four threads,
+    each with its stack, for the life of the process.
     """
-    family = socket.AF_INET6 if ":" in at.host else socket.AF_INET
-    made = socket.create_server((at.host, at.port), family=family, backlog=backlog)
-    made.setblocking(False)
-    # Those that it accepts have it too; asyncio's own loop does not set it on them, uvloop does.
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return made
+    family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
+    listen_socket = socket.create_server((address.host, address.port), family=family, backlog=backlog)
+    listen_socket.setblocking(False)
+    # Accepted sockets inherit it; asyncio's own loop does not set it on them, uvloop does.
+    listen_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return listen_socket
 
 
 def inherited_socket(fd: int) -> socket.socket:
-    """The listening socket that the platform holds for every process of this balancer."""
+    """Return the listening socket that the platform passes to each process of this balancer.
+
+    Raises ConfigError if the descriptor is not a listening TCP socket.
+    """
     try:
-        found = socket.socket(fileno=fd)
+        listen_socket = socket.socket(fileno=fd)
     except OSError as e:
         raise ConfigError(f"PROXY_SOCKET_FD: descriptor {fd} is no socket: {e.strerror}") from None
     try:
-        listens = found.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+        listens = listen_socket.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     except OSError:
         listens = 0
-    if found.type != socket.SOCK_STREAM or not listens:
-        found.detach()
+    if listen_socket.type != socket.SOCK_STREAM or not listens:
+        listen_socket.detach()
         raise ConfigError(f"PROXY_SOCKET_FD: descriptor {fd} is not a TCP socket that listens")
-    found.setblocking(False)
-    return found
+    listen_socket.setblocking(False)
+    return listen_socket
 
 
 class Listener:
-    """A server that listens, and its socket where that is not the loop's own affair."""
+    """A listening server, and its socket if the event loop did not create it."""
 
     def __init__(
         self,
         server: asyncio.Server,
-        made: socket.socket | None,
+        listen_socket: socket.socket | None,
         protocol_factory: Callable[[], asyncio.Protocol],
     ) -> None:
-        self._server, self._socket, self._protocol_factory = server, made, protocol_factory
+        self._server, self._socket, self._protocol_factory = server, listen_socket, protocol_factory
 
     @property
     def port(self) -> int:
@@ -78,60 +81,72 @@
         return port
 
     def close(self) -> list[socket.socket]:
-        """Accept nothing more; gives the connections that wait in the kernel's queue, which to close on
-        would reset together with the requests that have come on them."""
+        """Stop accepting; returns the connections that were waiting in the kernel's queue.
+
+        Closing would reset them together with the requests already received on them.
+        """
         waiting: list[socket.socket] = []
         if self._socket is not None:
-            with suppress(OSError):  # none waits, or no descriptor is left for it
+            with suppress(OSError):  # none is waiting, or no descriptor is left for one
                 while len(waiting) < BACKLOG:
                     waiting.append(self._socket.accept()[0])
         self._server.close()
         return waiting
 
     async def serve_accepted(self, waiting: list[socket.socket]) -> None:
-        """Serve connections that the kernel had accepted; once it returns their protocols know them, and
-        those of all that the loop had accepted."""
+        """Serve connections that the kernel had accepted.
+
+        When it returns, connection_made has been called for them and for all that the loop had accepted.
+        """
         loop = asyncio.get_running_loop()
         for connection in waiting:
             connection.setblocking(False)
-            with suppress(OSError):  # reset meanwhile
+            with suppress(OSError):  # it was reset in the meantime
                 await loop.connect_accepted_socket(self._protocol_factory, connection)
-        for _ in range(ACCEPT_TURNS):
+        for _ in range(ACCEPT_ITERATIONS):
             await asyncio.sleep(0)
 
 
 async def listen(
-    key: str, protocol_factory: Callable[[], asyncio.Protocol], at: Address, backlog: int, bind: Bind | None
+    key: str,
+    protocol_factory: Callable[[], asyncio.Protocol],
+    address: Address,
+    backlog: int,
+    bind: Bind | None,
 ) -> Listener:
-    """Listen at the address that the setting `key` gives; raises ConfigError, which names it.
+    """Listen at the address of the setting `key`; raises ConfigError, which names the setting.
 
-    An address that a predecessor still holds is waited for, as ending would be a crash.
+    While a previous process still holds the address it waits: exiting would be a crash.
     """
     loop = asyncio.get_running_loop()
     give_up_at = loop.time() + ADDRESS_WAIT_S
     while True:
         try:
             if bind is None:
-                server = await loop.create_server(protocol_factory, at.host, at.port, backlog=backlog)
+                server = await loop.create_server(
+                    protocol_factory, address.host, address.port, backlog=backlog
+                )
                 return Listener(server, None, protocol_factory)
-            made = bind(at, backlog)
+            listen_socket = bind(address, backlog)
             return Listener(
-                await loop.create_server(protocol_factory, sock=made, backlog=backlog), made, protocol_factory
+                await loop.create_server(protocol_factory, sock=listen_socket, backlog=backlog),
+                listen_socket,
+                protocol_factory,
             )
         except (OSError, UnicodeError) as e:
             if not isinstance(e, OSError) or e.errno != errno.EADDRINUSE or loop.time() > give_up_at:
-                raise ConfigError(f"{key}: cannot listen on {at}: {e}") from None
-            logger.warning("address in use", extra=fields(address=at))
+                raise ConfigError(f"{key}: cannot listen on {address}: {e}") from None
+            logger.warning("address in use", extra=fields(address=address))
             await asyncio.sleep(0.1)
 
 
 async def serve(
-    protocol_factory: Callable[[], asyncio.Protocol], at: Address, fd: int | None, bind: Bind | None
+    protocol_factory: Callable[[], asyncio.Protocol], address: Address, fd: int | None, bind: Bind | None
 ) -> Listener:
-    """Listen for clients, on the socket that is inherited where there is one."""
+    """Listen for clients, on the inherited socket `fd` if there is one."""
     if fd is None:
-        return await listen("listen", protocol_factory, at, BACKLOG, bind)
-    # Closed, it stays open at the platform, and what waits there is the successor's.
+        return await listen("listen", protocol_factory, address, BACKLOG, bind)
+    # The platform keeps it open after it is closed here; waiting connections are left to the next process.
     server = await asyncio.get_running_loop().create_server(
         protocol_factory, sock=inherited_socket(fd), backlog=BACKLOG
     )
@@ -139,7 +154,7 @@
 
 
 def limit_socket_buffers(transport: asyncio.BaseTransport | None) -> None:
-    """Have the kernel hold little of what flows, so that a slow reader is felt and memory stays bounded."""
+    """Keep the kernel's buffers small, so that a slow reader causes backpressure and memory stays bounded."""
     connection = transport.get_extra_info("socket") if transport else None
     if connection is not None:
         with suppress(OSError, AttributeError):
@@ -148,35 +163,35 @@
 
 
 def end_sending(transport: asyncio.BaseTransport) -> None:
-    """Tell the peer at once, and for certain, that nothing more comes, whatever still waits to be written.
+    """Shut down the sending side at once, even if data is still buffered in the transport.
 
-    `abort` closes a turn later: until then uvloop may write what waits, and another connection be written to
-    first.  Without a socket, as in the lab's simulated network, nothing is done.
+    `abort` closes one loop iteration later: until then uvloop may write buffered data, and another connection
+    may be written to first.  Without a socket, as in the lab's simulated network, nothing is done.
     """
     connection = transport.get_extra_info("socket")
     with suppress(AttributeError, OSError, RuntimeError, TypeError, ValueError):
-        same = socket.socket(connection.family, connection.type, 0, connection.fileno())
+        duplicate = socket.socket(connection.family, connection.type, 0, connection.fileno())
         try:
-            same.shutdown(socket.SHUT_WR)
+            duplicate.shutdown(socket.SHUT_WR)
         finally:
-            same.detach()  # the descriptor stays the transport's
+            duplicate.detach()  # the descriptor stays the transport's
 
 
 def new_poll(transport: asyncio.BaseTransport) -> select.poll | None:
-    """Its `poll(0)` tells of bytes, an end or a reset in the kernel; None where there is no socket."""
+    """Create an object whose `poll(0)` reports bytes, an end or a reset; None if there is no socket."""
     connection = transport.get_extra_info("socket")
     try:
-        made = select.poll()
-        made.register(connection, select.POLLIN | select.POLLRDHUP)
+        poll = select.poll()
+        poll.register(connection, select.POLLIN | select.POLLRDHUP)
     except (AttributeError, OSError, RuntimeError, TypeError, ValueError):
         return None
-    return made
+    return poll
 
 
 def has_unread_bytes(transport: asyncio.BaseTransport) -> bool:
-    """Have bytes come in that the program has not read?  To close on them would reset the connection.
+    """Whether received bytes wait to be read; closing the connection then would reset it.
 
-    One system call; False where the transport has no socket, as in the lab's simulated network.
+    One system call; False if the transport has no socket, as in the lab's simulated network.
     """
     connection = transport.get_extra_info("socket")
     try:
@@ -187,10 +202,10 @@
 
 
 def is_peer_closed(transport: asyncio.BaseTransport) -> bool:
-    """Has the far end closed or reset the connection, be it behind bytes that are not read?
+    """Whether the peer has closed or reset the connection, even behind unread bytes.
 
-    `poll` tells so whatever is in the buffer; a read, or a look at the next byte, only once that is empty.
-    One system call; False where the transport has no socket.
+    `poll` reports it whatever is in the buffer; a read or a peek only once the buffer is empty.
+    One system call; False if the transport has no socket.
     """
     connection = transport.get_extra_info("socket")
     poll = select.poll()
--- a/roadlb/net/status_page.py
+++ b/roadlb/net/status_page.py
@@ -1,4 +1,4 @@
-"""Pages for operators over plain HTTP: GET only, one answer for each connection."""
+"""Status pages for operators over plain HTTP: GET only, one answer per connection."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from .http import text_answer
 
 MAX_HEAD_BYTES = 8_192
-REQUEST_TIMEOUT_S = 5.0  # who has not asked by then is let go
-MAX_OPEN_REQUESTS = 20  # at once: a page of 10,000 subscribers is some MB
+REQUEST_TIMEOUT_S = 5.0  # to receive the request and send the answer
+MAX_OPEN_REQUESTS = 20  # at a time: a page of 10,000 subscribers takes several MB
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """A status and what it holds: a text, or data that becomes JSON."""
+    """A status and its content: a text, or data that is sent as JSON."""
 
     status: int
     content: object
@@ -34,7 +34,7 @@
 
 
 class StatusPage:
-    """Serves pages by their path; each is made when it is asked for.  `port`: where."""
+    """Serves pages by path, each made when it is requested; `port` is the port it listens on."""
 
     def __init__(self, pages: Mapping[str, Callable[[], Page]]) -> None:
         self._pages, self._open_count, self.port = pages, 0, 0
@@ -52,7 +52,7 @@
                 writer.write(self._answer(head).encode())
                 await writer.drain()
         except (TimeoutError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, OSError):
-            writer.transport.abort()  # nobody waits for an answer
+            writer.transport.abort()  # the client has gone or sent no valid request
         finally:
             self._open_count -= 1
             writer.close()
