--- a/tests/net/test_client_closing.py
+++ b/tests/net/test_client_closing.py
@@ -21,7 +21,7 @@
 HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 CLOSE_HEADER = "Connection: close"
 TRAILING_BYTES = (
-    client_connection.DISCARDED_MOST // 2
+    client_connection.MAX_DISCARDED_BYTES // 2
 )  # bytes after the faulty input, all of which are discarded
 
 
@@ -77,7 +77,7 @@
 async def send_answered_request(stage: Stage, blocking_client: BlockingClient) -> None:
     """Sends a request that the balancer answers itself, so that the connection is idle after a request."""
     blocking_client.send(HEALTH_REQUEST)
-    await wait_until(lambda: only_connection(stage).asked)
+    await wait_until(lambda: only_connection(stage).has_sent_request)
 
 
 @pytest.mark.parametrize("loop", LOOPS)
@@ -88,9 +88,9 @@
         stage.app.tell(Event.OUT_OF_SERVICE)
         await step(stage, "i1 send 200 done")
         connection = only_connection(stage)
-        await wait_until(lambda: connection.closing_us)
+        await wait_until(lambda: connection.closing_since_us)
         blocking_client.send(order_request(2) + order_request(3))
-        await wait_until(lambda: connection._discarded)
+        await wait_until(lambda: connection._discarded_bytes)
         received = await blocking_client.read_to_end()
         assert received.count("HTTP/1.1") == 1 and CLOSE_HEADER in received and received.endswith("done")
         await wait_until(lambda: not stage.app.frontend.connections)
@@ -116,7 +116,7 @@
         # an immediate close would send a reset.
         connection = only_connection(stage)
         blocking_client.send_available(sent + "x" * TRAILING_BYTES)
-        await wait_until(lambda: connection.closing_us)
+        await wait_until(lambda: connection.closing_since_us)
         await blocking_client.send_more(100_000)
         received = await blocking_client.read_to_end()
         assert received.startswith(f"HTTP/1.1 {status}") and CLOSE_HEADER in received
@@ -130,7 +130,7 @@
     async def main(stage: Stage, blocking_client: BlockingClient) -> None:
         connection = only_connection(stage)
         blocking_client.send("nonsense\r\n\r\n")
-        await wait_until(lambda: connection.closing_us)
+        await wait_until(lambda: connection.closing_since_us)
         blocking_client.socket.setblocking(False)
         async with asyncio.timeout(LIMIT_S):
             while connection.transport is not None:
@@ -142,7 +142,7 @@
                     break
                 await asyncio.sleep(0)
         await wait_until(lambda: not stage.app.frontend.connections)
-        assert connection._discarded <= client_connection.DISCARDED_MOST + (
+        assert connection._discarded_bytes <= client_connection.MAX_DISCARDED_BYTES + (
             1 << 19
         )  # plus two reads of the event loop
 
@@ -197,8 +197,8 @@
 
 def exceed_connection_limit(stage: Stage) -> None:
     frontend_under_test = stage.app.frontend
-    frontend_under_test.limit(0)
-    frontend_under_test.connected(client_connection.ClientConnection(frontend_under_test))
+    frontend_under_test.set_max_connections(0)
+    frontend_under_test.on_connected(client_connection.ClientConnection(frontend_under_test))
 
 
 @pytest.mark.parametrize("loop", LOOPS)
@@ -208,9 +208,9 @@
 ) -> None:
     async def main(stage: Stage, blocking_client: BlockingClient) -> None:
         await send_answered_request(stage, blocking_client)
-        monkeypatch.setattr(frontend, "IDLE_S", -1.0)
-        monkeypatch.setattr(frontend, "SPARE_IDLE_S", -1.0)
-        monkeypatch.setattr(frontend, "FEW", 2)
+        monkeypatch.setattr(frontend, "IDLE_TIMEOUT_S", -1.0)
+        monkeypatch.setattr(frontend, "SHORT_IDLE_TIMEOUT_S", -1.0)
+        monkeypatch.setattr(frontend, "HIGH_USE_RATIO", 2)
         blocking_client.send(order_request(1))
         close_idle_connections(stage)
         monkeypatch.undo()
@@ -236,7 +236,7 @@
     async def main(stage: Stage, blocking_client: BlockingClient) -> None:
         text = order_request(1)
         blocking_client.send(text[:-2])
-        await wait_until(lambda: only_connection(stage).started_us)
+        await wait_until(lambda: only_connection(stage).request_started_us)
         blocking_client.send(text[-2:])
         stage.app.frontend.close_unfinished()
         await step(stage, "i1 expect POST")
@@ -273,8 +273,8 @@
     async def main(stage: Stage, blocking_client: BlockingClient) -> None:
         connection = only_connection(stage)
         blocking_client.send("nonsense\r\n\r\n")
-        await wait_until(lambda: connection.lingers)
-        stage.app.frontend.limit(1)
+        await wait_until(lambda: connection.is_lingering)
+        stage.app.frontend.set_max_connections(1)
         other = BlockingClient(stage)
         await wait_until(lambda: connection not in stage.app.frontend.connections)
         assert stage.app.counters["client.crowded"] == 0
--- a/tests/net/test_client_flood.py
+++ b/tests/net/test_client_flood.py
@@ -81,7 +81,7 @@
     async def main() -> None:
         stage = await start_stage("1")
         flood = BlockingClient(stage)
-        flood.send_available("nonsense\r\n\r\n" + "x" * (client_connection.DISCARDED_MOST * 2))
+        flood.send_available("nonsense\r\n\r\n" + "x" * (client_connection.MAX_DISCARDED_BYTES * 2))
         sending = asyncio.ensure_future(flood.send_more(1 << 30))
         link = await connect_client(stage, "a", READ_REQUEST)
         await step(stage, "i1 expect GET")
--- a/tests/net/test_client_leaves.py
+++ b/tests/net/test_client_leaves.py
@@ -15,7 +15,7 @@
 import pytest
 from scenario import LIMIT_S, LOOPS, Link, Stage, run
 
-from roadlb.net.client_connection import HELD_MOST, ClientConnection
+from roadlb.net.client_connection import MAX_UNPARSED_BYTES, ClientConnection
 
 ORDER_TEMPLATE = (
     "POST /order/k HTTP/1.1\r\nHost: x\r\nX-Account: acme\r\nX-Correlation-Id: {id}\r\n"
@@ -23,7 +23,7 @@
 )
 READ_REQUEST = "GET /grid-read/k HTTP/1.1\r\nHost: x\r\nX-Account: acme\r\nX-Correlation-Id: 1\r\n\r\n"
 MAX_KEYS = 20
-PAUSING_BYTES = HELD_MOST + 1  # bytes after an open request that make the balancer stop reading
+PAUSING_BYTES = MAX_UNPARSED_BYTES + 1  # bytes after an open request that make the balancer stop reading
 CLOSE_KINDS = ["end", "reset", "half-close"]
 
 
@@ -89,7 +89,7 @@
         link = await connect_client(stage, "a", order_request(1))
         await step(stage, "i1 expect POST")
         link.write("x" * PAUSING_BYTES)
-        await wait_until(lambda: only_connection(stage).reading_paused)
+        await wait_until(lambda: only_connection(stage).is_reading_paused)
         disconnect(link, close_kind)
         await step(stage, "i1 expect closed")
         assert stage.app.counters["client_gone"] == 1 and stage.app.counters["errored.order"] == 0
@@ -106,7 +106,7 @@
         link = await connect_client(stage, "a", order_request(1) + order_request(2) + order_request(3))
         await step(stage, "i1 expect POST")
         link.write(order_request(4) + "x" * PAUSING_BYTES)
-        await wait_until(lambda: only_connection(stage).reading_paused)
+        await wait_until(lambda: only_connection(stage).is_reading_paused)
         disconnect(link, close_kind)
         await step(stage, "i1 expect closed")
         await wait_until(lambda: not stage.app.frontend.connections)
@@ -129,7 +129,7 @@
         blocking_client.sendall((order_request(1) + order_request(2)).encode())
         await step(stage, "i1 expect POST")
         blocking_client.sendall(b"x" * PAUSING_BYTES)
-        await wait_until(lambda: only_connection(stage).reading_paused)
+        await wait_until(lambda: only_connection(stage).is_reading_paused)
         exchange = only_connection(stage).exchange
         assert exchange is not None
         blocking_client.close()
@@ -148,7 +148,7 @@
         stage = await start_stage("1")
         link = await connect_client(stage, "a", order_request(1) + "nonsense\r\n\r\n")
         await step(stage, "i1 expect POST")
-        assert only_connection(stage).deaf
+        assert only_connection(stage).ignores_input
         disconnect(link, close_kind)
         await step(stage, "i1 expect closed")
         assert stage.app.counters["client_gone"] == 1 and stage.app.counters["errored.order"] == 0
@@ -167,7 +167,7 @@
         await wait_until(lambda: stage.app.counters["execution"])
         if paused:
             link.write("x" * PAUSING_BYTES)
-            await wait_until(lambda: only_connection(stage).reading_paused)
+            await wait_until(lambda: only_connection(stage).is_reading_paused)
         disconnect(link, close_kind)
         await wait_until(lambda: stage.app.counters["client_gone"])
         assert stage.app.counters["execution.cancelled"] == 1 and stage.app.counters["execution"] == 1
@@ -185,7 +185,7 @@
         stage = await start_stage("0 0 1")
         link = await connect_client(stage, "a", order_request(1, 200_000) + "x" * 100_000)
         await wait_until(lambda: stage.app.counters["execution"])
-        assert only_connection(stage).uploading
+        assert only_connection(stage).is_uploading
         disconnect(link, close_kind)
         await wait_until(lambda: stage.app.counters["client_gone"])
         assert stage.app.counters["execution"] == 1
@@ -204,7 +204,7 @@
         link.reader._transport.pause_reading()  # type: ignore[attr-defined]
         await step(stage, "i1 expect POST")
         stage.links["i1"].write(f"HTTP/1.1 200 OK\r\nContent-Length: {1 << 25}\r\n\r\n" + "x" * (1 << 24))
-        await wait_until(lambda: only_connection(stage).stuck_us)
+        await wait_until(lambda: only_connection(stage).write_blocked_since_us)
         disconnect(link, close_kind)
         await wait_until(lambda: stage.app.counters["client_gone"])
         assert stage.app.counters["taken"] == 1
--- a/tests/net/test_client_line.py
+++ b/tests/net/test_client_line.py
@@ -49,9 +49,9 @@
     await step(stage, "i1 expect POST")
     if waiting_form == "unparsed":
         link.write(pipelined)
-        await wait_until(lambda: only_connection(stage)._held)
+        await wait_until(lambda: only_connection(stage)._unparsed)
     else:
-        assert only_connection(stage)._waiting
+        assert only_connection(stage)._pending
 
 
 @pytest.mark.parametrize("loop", LOOPS)
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -456,7 +456,7 @@
 @given(st.binary(max_size=20))
 def test_a_target_that_would_split_the_request_line_is_not_forwarded(rest: bytes) -> None:
     target = b"/" + rest
-    if frontend.passable(target):
+    if frontend.is_forwardable(target):
         assert (b"GET %b HTTP/1.1" % target).decode("ascii").split() == ["GET", target.decode(), "HTTP/1.1"]
 
 
@@ -474,15 +474,15 @@
     monkeypatch: pytest.MonkeyPatch, before: str, start: str
 ) -> None:
     # Such connections used to last 75 s, and a few hundred of them used up all descriptors.
-    monkeypatch.setattr(frontend, "REQUEST_S", 0.2)
-    monkeypatch.setattr(frontend, "IDLE_S", 0.2)
+    monkeypatch.setattr(frontend, "REQUEST_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(frontend, "IDLE_TIMEOUT_S", 0.2)
     answered = "a expect 408 close" if start else ""
     run(play(f"{before}\na send raw {start}\n{answered}\na expect closed"))
 
 
 def test_the_longest_idle_connection_is_closed_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
     # Clients that open a connection per request and keep it: the new ones were closed, with their requests.
-    monkeypatch.setattr(frontend, "FEW", 2)
+    monkeypatch.setattr(frontend, "HIGH_USE_RATIO", 2)
     run(
         play("""
         grid 1 client_sockets=2
@@ -500,7 +500,7 @@
 
 def test_idle_connections_are_closed_sooner_when_few_are_left(monkeypatch: pytest.MonkeyPatch) -> None:
     # In a load test with new clients for each request, idle connections were kept and others had none left.
-    monkeypatch.setattr(frontend, "SPARE_IDLE_S", 0.05)
+    monkeypatch.setattr(frontend, "SHORT_IDLE_TIMEOUT_S", 0.05)
     run(
         play("""
         grid 1 client_sockets=5
@@ -528,19 +528,19 @@
 def test_request_ids_expire() -> None:
     stage = run(play("a send POST /order/k\ni1 expect POST\ni1 send 200\na expect 200"))
     client_listener = stage.app.frontend
-    ((_, id),) = client_listener._answered
-    assert client_listener._ids == {id}
-    client_listener._answered[0] = (0, id)
+    ((_, id),) = client_listener._expiring_ids
+    assert client_listener._known_ids == {id}
+    client_listener._expiring_ids[0] = (0, id)
     client_listener.sweep()
-    assert not client_listener._ids and not client_listener._answered
+    assert not client_listener._known_ids and not client_listener._expiring_ids
 
 
 def test_log_records_of_rejected_requests_are_rate_limited(caplog: pytest.LogCaptureFixture) -> None:
-    steps = "a send GET /nothing\na expect 404\n" * 5 * frontend.REJECTS_LOGGED
+    steps = "a send GET /nothing\na expect 404\n" * 5 * frontend.MAX_LOGGED_REJECTS_PER_S
     stage = run(play(steps))
-    assert stage.app.counters["rejected.404"] == 5 * frontend.REJECTS_LOGGED
+    assert stage.app.counters["rejected.404"] == 5 * frontend.MAX_LOGGED_REJECTS_PER_S
     logged = sum(r.getMessage() == "request rejected" for r in caplog.records)
-    assert logged <= 4 * frontend.REJECTS_LOGGED
+    assert logged <= 4 * frontend.MAX_LOGGED_REJECTS_PER_S
 
 
 @pytest.mark.parametrize("steps", SURPLUS_RESPONSES.values(), ids=SURPLUS_RESPONSES)
--- a/tests/net/test_slow.py
+++ b/tests/net/test_slow.py
@@ -43,7 +43,7 @@
         assert (
             len(answerer.started) == 1 and not wire.paused
         )  # reading goes on, or a close would not be noticed
-        pipelined_count = 1 + client_connection.HELD_MOST // len(get(id=6).encode())
+        pipelined_count = 1 + client_connection.MAX_UNPARSED_BYTES // len(get(id=6).encode())
         for id in range(6, 6 + pipelined_count):
             wire.feed(get(id=id).encode())
         await settle(loop)
@@ -61,7 +61,7 @@
         wire.feed(get(id=1).encode())
         await settle(loop)
         wire.protocol.pause_writing()
-        for seconds, end in ((frontend.REQUEST_S, ""), (0.1, "aborted")):
+        for seconds, end in ((frontend.REQUEST_TIMEOUT_S, ""), (0.1, "aborted")):
             loop.now_us += int(seconds * 1e6)
             client.sweep()
             assert wire.end == end
@@ -85,7 +85,8 @@
         assert len(answerer.started) == 1 and wire.paused
         unread_count = wire.state[3]
         assert (
-            isinstance(unread_count, int) and unread_count >= 100 - client_connection.HELD_MOST // 4_096 - 1
+            isinstance(unread_count, int)
+            and unread_count >= 100 - client_connection.MAX_UNPARSED_BYTES // 4_096 - 1
         )
 
     assert run(main)[1] == []
