--- a/roadlb/engine.py
+++ b/roadlb/engine.py
@@ -144,7 +144,8 @@
     def open(self, exchange: Exchange) -> None:
         """Accept a client's request, which from now on gets exactly one final answer."""
         if len(self._open) >= self._max_open:
-            # Without free sockets every request would fail.  None of this one has run, so a retry is safe.
+            # Beyond the limit an attempt could find no free socket, and the request would fail anyway.
+            # Nothing of this request has been sent to a server, so the client may safely retry it.
             self._counters.add("full")
             exchange.answer = Refusal(self._retry_after_us)
             self._count_answer(Refusal, exchange.class_index)
@@ -179,7 +180,7 @@
             exchange.deadline_timer.cancel()
         if exchange.answer is None:
             exchange.deadline_timer = self._wheel.call_at(
-                exchange.deadline_at_us + DEADLINE_GRACE_US, self._overdue, exchange
+                exchange.deadline_at_us + DEADLINE_GRACE_US, self._on_overdue, exchange
             )
 
     def body_complete(self, exchange: Exchange) -> None:
@@ -371,11 +372,15 @@
         if exchange and not exchange.closed:  # once only: notifying the policy may fail as well
             self._give_up(exchange, "fault")
 
-    def _overdue(self, exchange: Exchange) -> None:
+    def _on_overdue(self, exchange: Exchange) -> None:
         self._give_up(exchange, "overdue")
 
     def _give_up(self, exchange: Exchange, reason: str) -> None:
-        """Answer without the policy, and notify it that the request has ended."""
+        """Answer an exchange without a decision of the policy.
+
+        The answer is a refusal if no attempt was made, else a failure.  The policy then ends the request
+        as if the client had gone.
+        """
         self._answer(exchange.id, Failure(reason) if exchange.attempts else Refusal(self._retry_after_us))
         self._dispatch(ClientGone(exchange.id))
         self._forbid_unsent(exchange)
@@ -389,12 +394,12 @@
         assert self.executor
         exchange, now = self._open.get(action.request), self._event_time_us
         if exchange is None:
-            return  # answered without the policy, whose next event says so
+            return  # answered without the policy, which has yet to process the event that says so
         if not exchange.closed and (exchange.attempts or now > exchange.arrived_us + RECENT_READ_US):
-            # The event that caused this attempt may have been processed before a close by the client that
-            # has arrived as well.
+            # The client may already have closed: the event that caused this attempt can be processed
+            # before a close that has arrived as well.
             exchange.check_client_gone()
-        until = (
+        attempt_deadline_at_us = (
             min(exchange.deadline_at_us, now + action.timeout_us)
             if action.timeout_us
             else exchange.deadline_at_us
@@ -405,7 +410,7 @@
             len(exchange.attempts),
             action.server,
             now,
-            until,
+            attempt_deadline_at_us,
             exchange.left_us if exchange.is_uploading else 0,
             action.write_by_us,
         )
--- a/roadlb/net/client_connection.py
+++ b/roadlb/net/client_connection.py
@@ -341,7 +341,9 @@
         if not request:
             return
         request.body_size += len(body)
-        if self.request_started_us:  # a body that arrives at a fair rate is given its time
+        # Each byte moves the start of the read timeout forward, up to now: a long body may take longer
+        # than the timeout if it arrives at the rate behind BODY_TIME_PER_BYTE_US or faster.
+        if self.request_started_us:
             self.request_started_us = min(
                 self._arrived_us, self.request_started_us + len(body) * BODY_TIME_PER_BYTE_US
             )
--- a/roadlb/net/frontend.py
+++ b/roadlb/net/frontend.py
@@ -318,11 +318,11 @@
         self._expiring_ids.append((now + ID_RETENTION_US, connection.id))
 
     def check_before_body(self, request: Request) -> Refusal | None:
-        """Return the refusal if the policy would refuse the request now: its body need not be read then."""
+        """Return the refusal if the policy refuses the request by its head, before its body is read."""
         try:
             class_index, tenant, key, left_us, work_us = self._classify(request)
         except BadRequest:
-            return None  # answered in its turn
+            return None  # `serve` answers the error when it comes to this request
         left_us -= self.clock() - request.arrived_us
         return self._engine.check_admission(class_index, tenant, key, max(1, left_us), work_us)
 
--- a/roadlb/net/sockets.py
+++ b/roadlb/net/sockets.py
@@ -65,7 +65,10 @@
 
 
 class Listener:
-    """A listening server, and its socket if the event loop did not create it."""
+    """A listening server, and the socket whose queue of waiting connections `close` empties.
+
+    None: `close` leaves the queue alone.
+    """
 
     def __init__(
         self,
@@ -143,10 +146,11 @@
 async def serve(
     protocol_factory: Callable[[], asyncio.Protocol], address: Address, fd: int | None, bind: Bind | None
 ) -> Listener:
-    """Listen for clients, on the inherited socket `fd` if there is one."""
+    """Listen for clients: on the inherited socket `fd` if there is one, else at the address."""
     if fd is None:
         return await listen("listen", protocol_factory, address, BACKLOG, bind)
-    # The platform keeps it open after it is closed here; waiting connections are left to the next process.
+    # The platform keeps the inherited socket open after this process has closed its copy, so connections
+    # in its queue are not reset: `Listener.close` must leave them to the next process.
     server = await asyncio.get_running_loop().create_server(
         protocol_factory, sock=inherited_socket(fd), backlog=BACKLOG
     )
@@ -170,11 +174,12 @@
     """
     connection = transport.get_extra_info("socket")
     with suppress(AttributeError, OSError, RuntimeError, TypeError, ValueError):
-        duplicate = socket.socket(connection.family, connection.type, 0, connection.fileno())
+        # Under uvloop the transport's own socket object refuses `shutdown`, hence a second object.
+        alias = socket.socket(connection.family, connection.type, 0, connection.fileno())
         try:
-            duplicate.shutdown(socket.SHUT_WR)
+            alias.shutdown(socket.SHUT_WR)
         finally:
-            duplicate.detach()  # the descriptor stays the transport's
+            alias.detach()  # the descriptor stays the transport's
 
 
 def new_poll(transport: asyncio.BaseTransport) -> select.poll | None:
--- a/roadlb/net/status_page.py
+++ b/roadlb/net/status_page.py
@@ -22,6 +22,7 @@
     content: object
 
     def encode(self) -> bytes:
+        """Encode the whole answer, which announces that the connection closes after it."""
         if isinstance(self.content, str):
             return text_answer(self.status, self.content, True)
         return text_answer(
--- a/roadlb/wheel.py
+++ b/roadlb/wheel.py
@@ -98,4 +98,4 @@
         """Drop all timers without calling them."""
         self._slots.clear()
         self._slot_heap.clear()
-        self._arm()
+        self._arm()  # without slots this only cancels the wakeup
