--- a/roadlb/overload/cost.py
+++ b/roadlb/overload/cost.py
@@ -29,11 +29,16 @@
         self._window_us, self._window_cpu_us, self._window_units = 0, 0.0, 0.0
 
     def requests_cpu_share(self, reading: Reading) -> float:
-        """The recent share of the CPU limit that requests took; all used CPU if requests are not counted."""
+        """Record a reading; return the recent share of the CPU limit that requests took.
+
+        It is the learned cost times the recent request rate, and at most the used CPU.  While the cost is
+        not known, or if the reading has no request counts, it is all used CPU.
+        """
         weight = 1 - exp(-reading.interval_us / self._mean_us)
         self._cpu_share += (reading.cpu_share - self._cpu_share) * weight
         if reading.arrived_count < 0:
             return self._cpu_share
+        # One unit is a served request; a refused one counts as `refusal_cost` units.
         units = reading.arrived_count - reading.refused_count + self._refusal_cost * reading.refused_count
         self._unit_rate += (units / reading.interval_us - self._unit_rate) * weight
         self._learn(reading, units)
@@ -44,6 +49,7 @@
         )
 
     def _learn(self, reading: Reading, units: float) -> None:
+        """Add a reading to the window; at the end of a window, move the cost towards the window's mean."""
         self._window_us += reading.interval_us
         self._window_cpu_us += reading.cpu_share * reading.interval_us
         self._window_units += units
--- a/roadlb/overload/loop_monitor.py
+++ b/roadlb/overload/loop_monitor.py
@@ -25,12 +25,12 @@
 
     def __init__(self, now: int) -> None:
         self._beat_due = now + BEAT_INTERVAL_US
-        self._beat_before_delay = 0  # the beat before the last one if the last one was late, else 0
+        self._beat_before_delay = 0  # when the beat before the last was run, if the last one was late; else 0
         self._interval_start = now
         self._max_us, self._delay_area = 0, 0.0
 
     def beat(self, now: int) -> int:
-        """The timer has fired; returns when it has to fire next."""
+        """Record how late the beat is whose timer has just fired; return when the next one is due."""
         delay_us = self.late_us(now)
         self._beat_before_delay = self._beat_due - BEAT_INTERVAL_US if delay_us >= NORMAL_TURN_US else 0
         self._record(delay_us)
--- a/roadlb/policy/change.py
+++ b/roadlb/policy/change.py
@@ -1,14 +1,15 @@
 """Applies new settings while requests are open.
 
     setting                        an open request
-    effect, group, window          follows the stricter, setting by setting, of its own rule and the new one
+    effect, group, window          follows, for each setting, the stricter of its own rule and the new one
     aim, deadline, worth           keeps those of its arrival
     max_attempts, second_copies    follows the new settings, at each attempt
     all others                     is not affected
 
-Stricter is what the agreement's table of settings calls narrower, so that an open request is allowed nothing
-that no version allowed it.  Such a request has a `ClassState` of its own; the latency of its answer does not
-count for its class, which matters little as these requests end soon.
+The stricter value (the documentation of the settings says "narrower") allows a request fewer repeats, so an
+open request is never repeated where its own rule or the new one forbids it.  Open requests whose rule now
+differs from that of their class have a `ClassState` of their own; the latency of their answers does not count
+for the class, which matters little as they end soon.
 """
 
 from __future__ import annotations
@@ -59,24 +60,30 @@
     return actions
 
 
-def stricter(held: RequestClass, rule: RequestClass) -> RequestClass:
-    """What neither rule forbids, with everything else as in `held`."""
+def stricter(own_rule: RequestClass, rule: RequestClass) -> RequestClass:
+    """Return `own_rule` with the stricter effect, group and window of both rules.
+
+    A higher effect or group and a shorter window allow fewer repeats.
+    """
     return replace(
-        held,
-        effect=max(held.effect, rule.effect),
-        group=max(held.group, rule.group),
-        window_us=min(held.window_us, rule.window_us),
+        own_rule,
+        effect=max(own_rule.effect, rule.effect),
+        group=max(own_rule.group, rule.group),
+        window_us=min(own_rule.window_us, rule.window_us),
     )
 
 
 def _state_of_open(cls: ClassState, rule: RequestClass) -> ClassState:
-    """The class state for open requests of `cls`: `cls` itself if the new rule is the one that they have."""
+    """Return the class state for open requests of `cls`.
+
+    It is `cls` itself if their rule stays as it is and `cls` is not about to get another one.
+    """
     spec = stricter(cls.spec, rule)
     if spec == cls.spec and (cls.listed_class is not None or _execution_rule(spec) == _execution_rule(rule)):
         return cls
-    held = ClassState(spec, cls.mean_us, cls.tail_us, cls.min_latency_us, cls.listed_class or cls)
-    held.base_latency_us = cls.base_latency_us
-    return held
+    open_state = ClassState(spec, cls.mean_us, cls.tail_us, cls.min_latency_us, cls.listed_class or cls)
+    open_state.base_latency_us = cls.base_latency_us
+    return open_state
 
 
 def _execution_rule(spec: RequestClass) -> tuple[int, int, int]:
@@ -84,7 +91,7 @@
 
 
 def _cancel_unsent_repeats(request: Request) -> list[Action]:
-    """Cancel retries that wait for a connection: they would reach a server under the new rule."""
+    """Cancel retries that still wait for a connection, as the new rule does not allow them to be sent."""
     first = request.earliest_run()
     return (
         []
--- a/roadlb/policy/logic.py
+++ b/roadlb/policy/logic.py
@@ -393,7 +393,7 @@
             self.give_up(r)
 
     def give_up(self, r: Request) -> None:
-        """Give the final answer: a refusal if a retry does no harm, otherwise a failure."""
+        """End the request without an answer: refuse it if the client may safely repeat it, else fail it."""
         effect, group = r.cls.spec.effect, r.cls.spec.group
         if not r.earliest_run() or effect is Effect.SAFE or (effect is Effect.KEYED and group is Group.ALL):
             self.refuse(r.id, r.cls)
@@ -425,7 +425,7 @@
     def on_client_gone(self, e: ClientGone) -> None:
         if r := self.requests.get(e.request):
             self.close(r)
-            # Attempts that may run to their end must not begin any more.
+            # `close` may leave attempts running; those that still wait for a connection must not be sent.
             self.actions += [Cancel(r.id, n, unsent=True) for n, _ in r.open_uncancelled()]
 
     def on_stream_started(self, e: StreamStarted) -> None:
--- a/roadlb/policy/slow_start.py
+++ b/roadlb/policy/slow_start.py
@@ -1,12 +1,10 @@
 """Limits what one balancer sends to servers in slow start to its part of what all may send.  No I/O.
 
-`roadlb.routing.slow_start_budget` has the budget of one server.  This module measures its inputs: the work a
-second that a
-capacity of 1 serves, the mean work of a request, and the throughput of servers in slow start.
-The work per capacity is measured at warm servers only: servers in slow start are sent work by this figure, so
-that measuring it there would confirm itself.
-While no server is warm the figure stays as it was; a balancer
-that has never seen a warm one uses what it sends to servers in slow start.
+`roadlb.routing.slow_start_budget` has the budget of one server.  This module measures its inputs: the
+work a second that a capacity of 1 serves, the mean work of a request, and the throughput of servers in slow
+start.  The work per capacity is measured at warm servers only: it determines how much work servers in slow
+start are sent, so a measurement there would only confirm itself.  While no server is warm the figure stays as
+it was; a balancer that has never seen a warm server uses what it sends to servers in slow start.
 """
 
 from __future__ import annotations
--- a/roadlb/policy/state.py
+++ b/roadlb/policy/state.py
@@ -85,9 +85,9 @@
         )
 
     def connected(self, now: int, keep_us: int) -> bool:
-        """Is there an idle connection to it that a request could use?  Each is kept for `keep_us`."""
+        """Drop connections idle for longer than `keep_us`; return whether one is left for a request."""
         idle_since_us = self.idle_since_us
-        # The longest idle connection is closed first; the last one that became idle is used first.
+        # Sorted by time: index 0 is idle longest and expires first; requests use the last one.
         while idle_since_us and now - idle_since_us[0] > keep_us:
             del idle_since_us[0]
         return bool(idle_since_us)
@@ -179,7 +179,7 @@
         self.last_resort = False  # may go to a suspect server, as no other is usable
 
     def open_uncancelled(self, except_attempt: int = -1) -> list[tuple[int, Attempt]]:
-        """Attempts in flight that are not cancelled, with their numbers, but for one of them."""
+        """Return (number, attempt) of each attempt in flight and not cancelled, but for `except_attempt`."""
         return [
             (n, attempt)
             for n, attempt in enumerate(self.attempts)
--- a/roadlb/routing/health.py
+++ b/roadlb/routing/health.py
@@ -108,7 +108,7 @@
         ) = 0.0, 0, 0, 0, 0
 
     def record_success(self, server: ServerHealth) -> None:
-        """The server has answered well."""
+        """A good answer lowers the failure rate; it ends an ejection, or shortens the next one by 1/8."""
         server.failure_rate, server.full_count = server.failure_rate * 0.8, 0
         if server.ejected_until:
             server.ejected_until, self.ejected_count = 0, self.ejected_count - 1
--- a/roadlb/routing/key_sets.py
+++ b/roadlb/routing/key_sets.py
@@ -127,7 +127,12 @@
         return key_set.candidates
 
     def should_join(self, now: int, aim_us: int, other: S | None, best: S, mean: float) -> bool:
-        """Return whether the other server is so much less loaded than the best member that it joins."""
+        """Return whether `other`, the least loaded candidate outside the set, should join it.
+
+        It joins if the best member is crowded and `other` reports less than half as much waiting; or if the
+        best member is above T_high and `other` is at most at T_low; or if the best member is at 2 T_high or
+        above and `other` has no more load than it.
+        """
         if other is None:
             return False
         if self.is_crowded(now, aim_us, best) and 2 * other.reported_load(now, aim_us) < best.reported_load(
--- a/roadlb/routing/shares.py
+++ b/roadlb/routing/shares.py
@@ -62,7 +62,8 @@
         self._lease_end_us, self._fallback_share = 0, 1.0  # from then on, no more than this share of any
         self.max_unlisted_share = 1.0  # no more than this of a server in slow start that no report names
         self._fleet_shortage: float | None = None  # the shortage that all balancers see, if known
-        self._fleet_shortage_weight, self._fleet_shortage_until = 1.0, 0  # beside the own; when it expires
+        # Its weight, the rest being that of the local shortage; the time at which it expires, 0: never.
+        self._fleet_shortage_weight, self._fleet_shortage_until = 1.0, 0
 
         self.retries_per_s, self.dials_per_s = 0.0, 0.0  # of all balancers together; 0: no limit
         self.is_limited = False  # by either of them
@@ -107,7 +108,10 @@
         )
 
     def slow_start_divisor(self, now: int, server: bytes) -> float:
-        """Return 1 / (this process's share of what all may send to a server in slow start)."""
+        """Return 1 / (this process's share of what all may send to a server in slow start).
+
+        A server that no report names is divided evenly, with a share of at most `max_unlisted_share`.
+        """
         if server not in self._slow_start_shares:
             return max(self.process_count, 1 / self.max_unlisted_share)
         return self._divisor(now, self._slow_start_shares.get(server))
--- a/roadlb/routing/slow_start_budget.py
+++ b/roadlb/routing/slow_start_budget.py
@@ -80,9 +80,10 @@
         self._remaining_work -= work
 
     def record_completed(self, now: int, work: float, overload_window_us: int) -> float:
-        """Record work that the server has done for this balancer, and can do again.
+        """Record work that the server has completed for this balancer; 0 only updates the sum.
 
-        Return the sum of recent work, which decays over the time of the overload window.
+        Return the sum of recently completed work, which decays over the time of the overload window.  The
+        server is assumed to be able to do as much again.
         """
         self._proven_work = self._proven_work / (1 + (now - self._proven_at) / overload_window_us) + work
         self._proven_at = now
@@ -99,7 +100,9 @@
         work: float,
         draw: Callable[[], float],
     ) -> float:
-        """Return what would be left after a request of `work`, which may be sent if that is over 0.
+        """Refill the budget until now; return what a request of `work` would leave, and count it if rejected.
+
+        The request may be sent if the result is over 0; `spend` then records it.
 
         `work_per_s`: what all balancers together send a server of its size and progress in slow start;
         `divisor`: by how much the budget is divided among them; `mean_work`: of one request;
--- a/roadlb/sites/warm_up.py
+++ b/roadlb/sites/warm_up.py
@@ -39,8 +39,8 @@
         self._start_share, self._ramp_us = cold_from, cold_us
 
     def observe(self, now: int, actions: Iterable[Action]) -> bool:
-        """Record state changes of sites; returns whether a server may now have less capacity than before."""
-        is_any_colder = False
+        """Record losses and returns of sites; return whether servers may now be in slow start again."""
+        may_slow_start = False
         for change in actions:
             if not isinstance(change, StateChanged):
                 continue
@@ -49,8 +49,8 @@
             elif change.after is State.RETURNING and (
                 self._returned_at.get(change.site, -1) < self._lost_at.get(change.site, -1)
             ):
-                self._returned_at[change.site], is_any_colder = now, True  # its first answer since the loss
-        return is_any_colder
+                self._returned_at[change.site], may_slow_start = now, True  # its first answer since the loss
+        return may_slow_start
 
     def capacity_share(self, now: int, site: int, started_at: int) -> float:
         """The share of its capacity, 0..1, that a server of this site has.
